--- a/forkseam-core/src/test/java/org/forkseam/core/member/AvailabilityOrdersTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/member/AvailabilityOrderingTest.java
@@ -21,14 +21,13 @@
 import java.util.TreeMap;
 
 /**
- * Tests that whether a target gets work from a router hangs on what that router was told, not on
- * the order in which rows, lapses, restarts, answers and other routers' news come.
+ * Tests that a router's view of a target's availability does not depend on the order of rows,
+ * expiries, restarts, responses and reports of other routers.
  *
- * <p>A few targets, some routers with a directory each, and a random order of events. After each
- * event, each router's view of each target is compared with a plain record of what it was told: no
- * work for a start that has said that it leaves or asked for time, and work for all others.
+ * <p>Applies random events to a few targets and routers, and compares each router's view with a
+ * model after each event.
  */
-class AvailabilityOrdersTest {
+class AvailabilityOrderingTest {
     private static final int TARGETS = 4;
     private static final int EVENTS = 300;
     private static final long MAX_HOLD_MILLIS = 4_000;
@@ -40,38 +39,41 @@
     }
 
     @Property(tries = 40, seed = "38", shrinking = ShrinkingMode.OFF)
-    void routersOfAGrownFleet(@ForAll long seed) {
+    void twentyThreeRouters(@ForAll long seed) {
         new World(23, seed).run();
     }
 
     @Property(tries = 4, seed = "38", shrinking = ShrinkingMode.OFF)
-    void routersOfTheSizeAimedAt(@ForAll long seed) {
+    void threeHundredAndFortyRouters(@ForAll long seed) {
         new World(340, seed).run();
     }
 
-    /** The check itself must find out a directory that forgets: else it proves nothing. */
+    /** Verifies that the check detects a directory that ignores an announcement. */
     @Example
-    void aRouterThatForgetsIsFoundOut() {
+    void checkDetectsIgnoredLeavingAnnouncement() {
         World w = new World(1, 1);
         w.start(0);
         w.read(w.mRouters.get(0));
         Router r = w.mRouters.get(0);
-        r.mLeaving.add(r.find(0).orElseThrow().start()); // told, and not taken in
+        r.mLeaving.add(
+                r.find(0)
+                        .orElseThrow()
+                        .incarnation()); // announced, but not applied to the directory
         try {
             w.check(r);
         } catch (AssertionError e) {
             return;
         }
-        throw new AssertionError("a word that was not taken in was not noticed");
+        throw new AssertionError("ignored leaving announcement not detected");
     }
 
-    /** Is the store's list and all routers. */
+    /** Target list of the store, and all routers. */
     private static final class World {
         private final Random mRandom;
         private final List<Router> mRouters = new ArrayList<>();
         private final Map<String, TargetEntry> mRows = new TreeMap<>();
-        private final Map<String, TargetEntry> mLapsed = new HashMap<>();
-        private final List<Integer> mNews = new ArrayList<>();
+        private final Map<String, TargetEntry> mExpired = new HashMap<>();
+        private final List<Integer> mReports = new ArrayList<>();
         private long mRevision = 1;
         private long mBorn = 1_000_000;
         private long mNow = 1_000;
@@ -99,18 +101,18 @@
         private void event(Router r, int target) {
             switch (mRandom.nextInt(10)) {
                 case 0 -> start(target);
-                case 1 -> lapse("t" + target);
-                case 2 -> comeBack("t" + target);
+                case 1 -> expire("t" + target);
+                case 2 -> reregister("t" + target);
                 case 3, 4 -> read(r);
-                case 5 -> r.find(target).ifPresent(t -> answerLeaving(r, t));
+                case 5 -> r.find(target).ifPresent(t -> respondLeaving(r, t));
                 case 6 -> r.find(target).ifPresent(t -> holdOff(r, t));
-                case 7 -> r.lateAnswer(mRandom);
-                case 8 -> news(r);
+                case 7 -> r.lateResponse(mRandom);
+                case 8 -> deliverReport(r);
                 default -> mNow += 1 + mRandom.nextLong(MAX_STEP_MILLIS);
             }
         }
 
-        /** Starts a target, or starts it again; its time of day may have stepped back. */
+        /** Starts or restarts a target; its clock may have stepped back. */
         void start(int target) {
             mBorn += mRandom.nextLong(20_000) - 10_000;
             put(new TargetEntry("t" + target, "p", "10.0.0.1:1", "z", 8, false, 0, mBorn));
@@ -119,70 +121,72 @@
         private void put(TargetEntry e) {
             mRevision++;
             mRows.put(e.id(), e);
-            mLapsed.remove(e.id());
+            mExpired.remove(e.id());
         }
 
-        private void lapse(String id) {
+        private void expire(String id) {
             Optional.ofNullable(mRows.remove(id))
                     .ifPresent(
                             e -> {
                                 mRevision++;
-                                mLapsed.put(id, e);
+                                mExpired.put(id, e);
                             });
         }
 
-        /** The row is written anew by the same start, still as one that is there to be used. */
-        private void comeBack(String id) {
-            Optional.ofNullable(mLapsed.get(id)).ifPresent(this::put);
+        /** Registers the row of the same incarnation again, not marked as leaving. */
+        private void reregister(String id) {
+            Optional.ofNullable(mExpired.get(id)).ifPresent(this::put);
         }
 
         void read(Router r) {
             r.mDirectory.apply(StorePosition.of(0, mRevision), List.copyOf(mRows.values()), mNow);
             r.mListed = Map.copyOf(mRows);
-            r.mListed.keySet().forEach(id -> r.mUnderWay.add(r.find(id).orElseThrow()));
+            r.mListed.keySet().forEach(id -> r.mContacted.add(r.find(id).orElseThrow()));
         }
 
-        private void answerLeaving(Router r, Target t) {
-            t.onSaysLeaving();
-            r.mLeaving.add(t.start());
-            mNews.add(t.shortHash());
+        private void respondLeaving(Router r, Target t) {
+            t.onLeavingAnnounced();
+            r.mLeaving.add(t.incarnation());
+            mReports.add(t.shortHash());
         }
 
         private void holdOff(Router r, Target t) {
             long millis = mRandom.nextLong(MAX_HOLD_MILLIS);
             t.onHoldOff(millis, mNow);
-            r.mHoldOff.merge(t.start(), mNow + millis, Math::max);
+            r.mHoldOff.merge(t.incarnation(), mNow + millis, Math::max);
         }
 
-        /** News come in any order, some twice, some never. */
-        private void news(Router r) {
-            if (mNews.isEmpty()) {
+        /** Delivers a random report; reports may be reordered, duplicated or lost. */
+        private void deliverReport(Router r) {
+            if (mReports.isEmpty()) {
                 return;
             }
-            int start = mNews.get(mRandom.nextInt(mNews.size()));
-            r.mDirectory.onToldLeaving(start);
-            r.mTold.add(start);
+            int start = mReports.get(mRandom.nextInt(mReports.size()));
+            r.mDirectory.onLeavingReported(start);
+            r.mReportedLeaving.add(start);
         }
 
         void check(Router r) {
             for (TargetEntry e : r.mListed.values()) {
                 Target t = r.find(e.id()).orElseThrow();
-                boolean leaves = r.mLeaving.contains(e.start()) || r.mTold.contains(t.shortHash());
-                boolean holdsOff = mNow < r.mHoldOff.getOrDefault(e.start(), 0L);
-                assertWithMessage("%s at %s", e, mNow)
-                        .that(t.takesWork(mNow))
-                        .isEqualTo(!leaves && !holdsOff);
+                boolean leaving =
+                        r.mLeaving.contains(e.incarnation())
+                                || r.mReportedLeaving.contains(t.shortHash());
+                boolean holdingOff = mNow < r.mHoldOff.getOrDefault(e.incarnation(), 0L);
+                assertWithMessage("%s at %s ms", e, mNow)
+                        .that(t.acceptsRequests(mNow))
+                        .isEqualTo(!leaving && !holdingOff);
             }
         }
     }
 
-    /** Is a router, with a plain record of what it was told. */
+    /** Router with a model of what it was told. */
     private static final class Router {
         private final TargetDirectory mDirectory = TargetDirectory.create();
-        private final Set<TargetStart> mLeaving = new HashSet<>();
-        private final Map<TargetStart, Long> mHoldOff = new HashMap<>();
-        private final Set<Integer> mTold = new HashSet<>();
-        private final Set<Target> mUnderWay = new LinkedHashSet<>();
+        private final Set<TargetIncarnation> mLeaving = new HashSet<>();
+        private final Map<TargetIncarnation, Long> mHoldOff = new HashMap<>();
+        private final Set<Integer> mReportedLeaving = new HashSet<>();
+        private final Set<Target> mContacted = new LinkedHashSet<>();
         private Map<String, TargetEntry> mListed = Map.of();
 
         Optional<Target> find(int target) {
@@ -193,14 +197,14 @@
             return mDirectory.find(id);
         }
 
-        /** An answer to a request sent at any time before, also to a start that is over. */
-        void lateAnswer(Random random) {
-            if (mUnderWay.isEmpty()) {
+        /** Delivers a response to any earlier request, including one to an ended incarnation. */
+        void lateResponse(Random random) {
+            if (mContacted.isEmpty()) {
                 return;
             }
-            Target t = List.copyOf(mUnderWay).get(random.nextInt(mUnderWay.size()));
-            t.onSaysLeaving();
-            mLeaving.add(t.start());
+            Target t = List.copyOf(mContacted).get(random.nextInt(mContacted.size()));
+            t.onLeavingAnnounced();
+            mLeaving.add(t.incarnation());
         }
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/member/ErrorRateTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/member/ErrorRateTest.java
@@ -10,15 +10,15 @@
 
 import java.util.Random;
 
-/** Tests when a target's failures speak against it. */
+/** Tests the detection of targets with outlying error rates. */
 class ErrorRateTest {
     /**
-     * Plays requests over the targets of a pool in turn, and counts how often a target that has
-     * just failed twice in a row stands out.
+     * Simulates round-robin requests to a pool. After each second consecutive failure of a target,
+     * counts whether the target is an outlier (index 1) or not (index 0).
      *
-     * @param bad targets that fail 45 in 100 of their requests
+     * @param bad number of targets that fail 45% of their requests
      */
-    private static int[] standOuts(int targets, int bad, long seed) {
+    private static int[] countOutliers(int targets, int failing, long seed) {
         Random random = new Random(seed);
         ErrorRate pool = new ErrorRate();
         ErrorRate[] own = new ErrorRate[targets];
@@ -27,11 +27,11 @@
         for (int i = 0; i < 4_000; i++) {
             int t = i % targets;
             own[t] = own[t] == null ? new ErrorRate() : own[t];
-            boolean failed = t < bad && random.nextDouble() < 0.45;
-            own[t].note(failed);
-            pool.note(failed);
+            boolean failed = t < failing && random.nextDouble() < 0.45;
+            own[t].addResult(failed);
+            pool.addResult(failed);
             if (failed && failedBefore[t]) {
-                count[own[t].standsOutOf(pool) ? 1 : 0]++;
+                count[own[t].isOutlierIn(pool) ? 1 : 0]++;
             }
             failedBefore[t] = failed;
         }
@@ -39,23 +39,23 @@
     }
 
     @Test
-    void oneBadTargetOfManyStandsOut() {
-        int[] count = standOuts(13, 1, 1);
+    void oneFailingTargetOfManyIsAnOutlier() {
+        int[] count = countOutliers(13, 1, 1);
         assertThat(count[1]).isGreaterThan(4 * count[0]);
     }
 
-    /** When all fail alike, none stands out but by rare chance. */
+    /** Outliers are rare if all targets fail alike. */
     @Property(seed = "4751", tries = 50)
-    void noTargetStandsOutOfAPoolThatFailsAlike(
+    void noOutlierInAUniformlyFailingPool(
             @ForAll long seed, @ForAll @IntRange(min = 3, max = 30) int targets) {
-        int[] count = standOuts(targets, targets, seed);
+        int[] count = countOutliers(targets, targets, seed);
         assertThat(count[1]).isLessThan(1 + count[0] / 5);
     }
 
     @Test
-    void aTargetWithoutFailuresDoesNotStandOutOnceThePoolFails() {
+    void targetWithoutFailuresIsNoOutlier() {
         ErrorRate pool = new ErrorRate();
-        pool.note(true);
-        assertThat(new ErrorRate().standsOutOf(pool)).isFalse();
+        pool.addResult(true);
+        assertThat(new ErrorRate().isOutlierIn(pool)).isFalse();
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/member/EvacuationsTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/member/EvacuationsTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Tests that what is told of evacuations late, twice or out of order changes nothing. */
+/** Tests that late, duplicate and reordered updates do not change evacuations. */
 class EvacuationsTest {
     private final Evacuations mState = Evacuations.create();
 
@@ -24,32 +24,35 @@
     }
 
     @Test
-    void changesAddAndTakeAway() {
+    void changesAddAndRemoveDomains() {
         assertThat(mState.replace(at(3), List.of("a", "b"), 0)).isTrue();
-        assertThat(mState.change(at(5), Set.of("c"), Set.of("a"), 0)).isTrue();
+        assertThat(mState.applyChanges(at(5), Set.of("c"), Set.of("a"), 0)).isTrue();
         assertThat(mState.domains()).containsExactly("b", "c");
-        assertThat(mState.change(at(6), Set.of("c"), Set.of("x"), 0)).isFalse();
+        assertThat(mState.applyChanges(at(6), Set.of("c"), Set.of("x"), 0)).isFalse();
         assertThat(mState.position()).isEqualTo(at(6));
     }
 
     @Test
-    void whatIsOlderChangesNothing() {
+    void olderStateIsIgnored() {
         mState.replace(at(5), List.of("a"), 0);
         assertThat(mState.replace(at(4), List.of(), 0)).isFalse();
-        assertThat(mState.change(at(4), Set.of("b"), Set.of("a"), 0)).isFalse();
+        assertThat(mState.applyChanges(at(4), Set.of("b"), Set.of("a"), 0)).isFalse();
         assertThat(mState.domains()).containsExactly("a");
     }
 
     @Test
-    void theFingerprintIsThatOfTheSet() {
+    void fingerprintIgnoresOrder() {
         mState.replace(at(1), List.of("b", "a"), 0);
         assertThat(mState.fingerprint()).isEqualTo(Evacuations.fingerprint(List.of("a", "b")));
         assertThat(mState.fingerprint()).isNotEqualTo(Evacuations.fingerprint(List.of("a")));
     }
 
-    /** Messages hold the whole state as of a revision; they come in any order, some twice. */
+    /**
+     * Each message contains the whole state as of a revision; messages arrive reordered and
+     * duplicated.
+     */
     @Property(tries = 200)
-    void anyOrderOfMessagesEndsInTheNewestState(@ForAll long seed) {
+    void anyMessageOrderConvergesToNewestState(@ForAll long seed) {
         Random random = new Random(seed);
         List<Set<String>> states = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
@@ -70,70 +73,72 @@
 
     // ---------------------------------------------------------------- a source that goes back
 
-    private static final long WRITTEN_AGAIN_MILLIS = 2_100;
+    private static final long REWRITE_GRACE_MILLIS = 2_100;
 
     private boolean replace(int era, long revision, long now, String... domains) {
         return mState.replace(StorePosition.of(era, revision), List.of(domains), now);
     }
 
     @Test
-    void whatTheCopyLacksHoldsUntilItIsDue() {
+    void evacuationMissingAfterRestoreIsRetainedForGracePeriod() {
         replace(1, 50, 0, "a");
         replace(2, 30, 10);
         assertThat(mState.domains()).containsExactly("a");
-        assertThat(mState.told()).isEmpty();
-        assertThat(mState.settle(10 + WRITTEN_AGAIN_MILLIS - 1)).isFalse();
-        assertThat(mState.settle(10 + WRITTEN_AGAIN_MILLIS)).isTrue();
+        assertThat(mState.reported()).isEmpty();
+        assertThat(mState.reconcile(10 + REWRITE_GRACE_MILLIS - 1)).isFalse();
+        assertThat(mState.reconcile(10 + REWRITE_GRACE_MILLIS)).isTrue();
         assertThat(mState.domains()).isEmpty();
     }
 
     @Test
-    void whatIsWrittenAgainHoldsWhateverItsRevision() {
+    void rewrittenEvacuationHoldsAtAnyRevision() {
         for (long revision : new long[] {31, 50, 60}) {
             Evacuations e = Evacuations.create();
             e.replace(StorePosition.of(1, 50), List.of("a"), 0);
             e.replace(StorePosition.of(2, 30), List.of(), 10);
-            e.change(StorePosition.of(2, revision), Set.of("a"), Set.of(), 20);
-            e.settle(10 + WRITTEN_AGAIN_MILLIS);
+            e.applyChanges(StorePosition.of(2, revision), Set.of("a"), Set.of(), 20);
+            e.reconcile(10 + REWRITE_GRACE_MILLIS);
             assertThat(e.domains()).containsExactly("a");
         }
     }
 
     @Test
-    void whatWasTakenBackIsNotInForceAgainByTheCopy() {
+    void endedEvacuationIsNotRevivedByRestore() {
         replace(1, 40, 0, "a");
-        mState.change(StorePosition.of(1, 50), Set.of(), Set.of("a"), 5);
+        mState.applyChanges(StorePosition.of(1, 50), Set.of(), Set.of("a"), 5);
         replace(2, 45, 10, "a");
         assertThat(mState.domains()).isEmpty();
-        mState.change(StorePosition.of(2, 46), Set.of(), Set.of("a"), 20);
-        assertThat(mState.settle(10 + WRITTEN_AGAIN_MILLIS)).isFalse();
+        mState.applyChanges(StorePosition.of(2, 46), Set.of(), Set.of("a"), 20);
+        assertThat(mState.reconcile(10 + REWRITE_GRACE_MILLIS)).isFalse();
         assertThat(mState.domains()).isEmpty();
     }
 
-    /** It was not written again: the store's word alone holds after a while. */
+    /** If it is not ended again, the store's list takes effect after the grace period. */
     @Test
-    void whatTheCopyBringsBackHoldsOnceItIsDue() {
+    void restoredEvacuationHoldsAfterGracePeriod() {
         replace(1, 40, 0, "a");
-        mState.change(StorePosition.of(1, 50), Set.of(), Set.of("a"), 5);
+        mState.applyChanges(StorePosition.of(1, 50), Set.of(), Set.of("a"), 5);
         replace(2, 45, 10, "a");
-        mState.settle(10 + WRITTEN_AGAIN_MILLIS);
+        mState.reconcile(10 + REWRITE_GRACE_MILLIS);
         assertThat(mState.domains()).containsExactly("a");
     }
 
-    /** What operators ask after the return is no copy: it holds at once, both ways. */
+    /**
+     * Changes made after the restore do not come from the backup, so they take effect immediately.
+     */
     @Test
-    void whatIsAskedAnewHoldsAtOnce() {
+    void changeAfterRestoreTakesEffectImmediately() {
         replace(1, 40, 0, "a", "b");
-        mState.change(StorePosition.of(1, 50), Set.of(), Set.of("b"), 5);
+        mState.applyChanges(StorePosition.of(1, 50), Set.of(), Set.of("b"), 5);
         replace(2, 45, 10, "a");
-        assertThat(mState.change(StorePosition.of(2, 46), Set.of("b", "c"), Set.of("a"), 20))
+        assertThat(mState.applyChanges(StorePosition.of(2, 46), Set.of("b", "c"), Set.of("a"), 20))
                 .isTrue();
         assertThat(mState.domains()).containsExactly("b", "c");
     }
 
-    /** Most routers are told the whole, and not what has changed. */
+    /** Most routers receive snapshots instead of changes. */
     @Test
-    void whatIsAskedAnewHoldsAtOnceAlsoIfToldWhole() {
+    void changeAfterRestoreTakesEffectImmediatelyFromSnapshots() {
         replace(1, 40, 0, "a", "b");
         replace(1, 50, 5, "a");
         replace(2, 45, 10, "a");
@@ -144,20 +149,21 @@
     }
 
     @Test
-    void aSecondReturnHoldsWhatIsInForce() {
+    void secondRestoreRetainsEffectiveEvacuations() {
         replace(1, 40, 0, "a");
         replace(2, 30, 10);
         replace(3, 20, 1_000);
-        assertThat(mState.settle(10 + WRITTEN_AGAIN_MILLIS)).isFalse();
+        assertThat(mState.reconcile(10 + REWRITE_GRACE_MILLIS)).isFalse();
         assertThat(mState.domains()).containsExactly("a");
-        assertThat(mState.settle(1_000 + WRITTEN_AGAIN_MILLIS)).isTrue();
+        assertThat(mState.reconcile(1_000 + REWRITE_GRACE_MILLIS)).isTrue();
     }
 
     @Test
-    void anEarlierEraChangesNothing() {
+    void earlierEraIsIgnored() {
         replace(2, 5, 0, "a");
         assertThat(replace(1, 90, 10)).isFalse();
-        assertThat(mState.change(StorePosition.of(1, 91), Set.of("b"), Set.of("a"), 10)).isFalse();
+        assertThat(mState.applyChanges(StorePosition.of(1, 91), Set.of("b"), Set.of("a"), 10))
+                .isFalse();
         assertThat(mState.domains()).containsExactly("a");
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/member/ReturnedListTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/member/TargetDirectoryRestoreTest.java
@@ -20,15 +20,15 @@
 import java.util.TreeMap;
 
 /**
- * Tests what a router makes of the list of targets when the store has come back from an older copy:
- * rows of before are there again, later ones are missing, and revisions are given out twice.
+ * Tests the target list after the store was restored from a backup: ended rows reappear, newer rows
+ * are missing, and revisions are reused.
  */
-class ReturnedListTest {
-    /** Rows that the copy lacks are written again within so long of the return. */
-    private static final long WRITTEN_AGAIN_MILLIS = 2_000;
+class TargetDirectoryRestoreTest {
+    /** Time after a restore within which missing rows are rewritten. */
+    private static final long REWRITE_MILLIS = 2_000;
 
-    /** Until when a copy's row of a target that has gone may still stand there. */
-    private static final long COPIED_MILLIS = 4_000;
+    /** Time after a restore for which rows of ended targets may remain. */
+    private static final long STALE_ROW_MILLIS = 4_000;
 
     private static final int TARGETS = 4;
     private static final int EVENTS = 200;
@@ -47,93 +47,97 @@
         mDirectory.apply(StorePosition.of(era, revision), List.of(entries), now);
     }
 
-    private boolean takesWork(String id, long now) {
-        return mDirectory.find(id).map(t -> t.takesWork(now)).orElse(false);
+    private boolean acceptsRequests(String id, long now) {
+        return mDirectory.find(id).map(t -> t.acceptsRequests(now)).orElse(false);
     }
 
     // ---------------------------------------------------------------- fixed cases
 
     @Example
-    void aListOfALaterEraIsTakenWhateverItsRevision() {
+    void laterEraIsAppliedAtAnyRevision() {
         for (long revision : new long[] {1, 50, 60}) {
             TargetDirectory d = TargetDirectory.create();
             d.apply(StorePosition.of(1, 50), List.of(ready("a")), 0);
             d.apply(StorePosition.of(2, revision), List.of(entry("a", true, 1)), 10);
-            assertThat(d.find("a").orElseThrow().takesWork(10)).isFalse();
+            assertThat(d.find("a").orElseThrow().acceptsRequests(10)).isFalse();
         }
     }
 
     @Example
-    void aListOfAnEarlierEraChangesNothing() {
+    void earlierEraIsIgnored() {
         read(2, 5, 0, ready("a"));
         read(1, 50, 10, ready("a"), ready("b"));
         assertThat(mDirectory.find("b").isPresent()).isFalse();
     }
 
-    /** The first list tells of no return: nothing is kept or passed over for it. */
+    /** The first list read does not indicate a restore. */
     @Example
-    void theFirstListIsNoReturn() {
+    void firstListIsNoRestore() {
         read(7, 1, 0, ready("a"));
         read(7, 2, 10);
         assertThat(mDirectory.find("a").isPresent()).isFalse();
     }
 
     @Example
-    void aStartThatWasLeavingIsNotUsedAgainByAnOlderRow() {
+    void leavingIncarnationIsNotRevivedByStaleRow() {
         read(1, 5, 0, ready("a"));
         read(1, 6, 10, entry("a", true, 1));
         read(2, 3, 20, ready("a"));
         read(2, 9, 60_000, ready("a"));
-        assertThat(takesWork("a", 60_000)).isFalse();
+        assertThat(acceptsRequests("a", 60_000)).isFalse();
     }
 
     @Example
-    void aStartThatHadGoneIsNotUsedAgainByAnOlderRow() {
+    void endedIncarnationIsNotRevivedByStaleRow() {
         read(1, 5, 0, ready("a"));
         read(1, 6, 10);
         read(2, 3, 20, ready("a"));
-        read(2, 4, 20 + COPIED_MILLIS, ready("a"));
-        assertThat(takesWork("a", 20 + COPIED_MILLIS)).isFalse();
-        assertThat(mDirectory.passesOver()).isTrue();
-        read(2, 4, mDirectory.passOverUntil(), ready("a")); // it lives, and its row had lapsed
-        assertThat(takesWork("a", mDirectory.passOverUntil())).isTrue();
+        read(2, 4, 20 + STALE_ROW_MILLIS, ready("a"));
+        assertThat(acceptsRequests("a", 20 + STALE_ROW_MILLIS)).isFalse();
+        assertThat(mDirectory.ignoresStaleRows()).isTrue();
+        read(
+                2,
+                4,
+                mDirectory.ignoreStaleRowsUntil(),
+                ready("a")); // alive; its row had only expired
+        assertThat(acceptsRequests("a", mDirectory.ignoreStaleRowsUntil())).isTrue();
     }
 
-    /** In one era a row that is back says that its target lives, as before. */
+    /** Within an era, a rewritten row means that the target is alive. */
     @Example
-    void aRowThatComesBackInItsEraIsUsedAtOnce() {
+    void rowRewrittenWithinItsEraIsUsedImmediately() {
         read(1, 5, 0, ready("a"));
         read(2, 3, 10, ready("a"));
         read(2, 4, 3_000);
         read(2, 5, 3_010, ready("a"));
-        assertThat(takesWork("a", 3_010)).isTrue();
+        assertThat(acceptsRequests("a", 3_010)).isTrue();
     }
 
     @Example
-    void anEarlierStartDoesNotTakeThePlaceOfALaterOne() {
+    void earlierIncarnationDoesNotReplaceLaterOne() {
         read(1, 5, 0, entry("a", false, 1));
         read(1, 6, 10, entry("a", false, 2));
         read(2, 3, 20, entry("a", false, 1));
-        assertThat(mDirectory.find("a").orElseThrow().start().born()).isEqualTo(2);
-        assertThat(takesWork("a", 20)).isTrue();
+        assertThat(mDirectory.find("a").orElseThrow().incarnation().born()).isEqualTo(2);
+        assertThat(acceptsRequests("a", 20)).isTrue();
     }
 
     @Example
-    void aNewStartIsUsedAtOnce() {
+    void newIncarnationIsUsedImmediately() {
         read(1, 5, 0, ready("a"));
         read(1, 6, 10);
         read(2, 3, 20, entry("a", false, 2));
-        assertThat(takesWork("a", 20)).isTrue();
+        assertThat(acceptsRequests("a", 20)).isTrue();
     }
 
     @Example
-    void aTargetThatTheCopyLacksIsKeptUntilItsRowIsDue() {
+    void targetMissingAfterRestoreIsRetainedForGracePeriod() {
         read(1, 5, 0, ready("a"), ready("b"));
         read(2, 3, 10, ready("a"));
-        read(2, 4, 10 + WRITTEN_AGAIN_MILLIS, ready("a"));
-        assertThat(takesWork("b", 10 + WRITTEN_AGAIN_MILLIS)).isTrue();
-        assertThat(mDirectory.keepsMissing()).isTrue();
-        read(2, 4, mDirectory.keepMissingUntil(), ready("a"));
+        read(2, 4, 10 + REWRITE_MILLIS, ready("a"));
+        assertThat(acceptsRequests("b", 10 + REWRITE_MILLIS)).isTrue();
+        assertThat(mDirectory.retainsUnlisted()).isTrue();
+        read(2, 4, mDirectory.retainUnlistedUntil(), ready("a"));
         assertThat(mDirectory.find("b").isPresent()).isFalse();
     }
 
@@ -145,47 +149,51 @@
     }
 
     @Property(tries = 40, seed = "41", shrinking = ShrinkingMode.OFF)
-    void routersOfAGrownFleet(@ForAll long seed) {
+    void twentyThreeRouters(@ForAll long seed) {
         new World(23, seed).run();
     }
 
     @Property(tries = 4, seed = "41", shrinking = ShrinkingMode.OFF)
-    void routersOfTheSizeAimedAt(@ForAll long seed) {
+    void threeHundredAndFortyRouters(@ForAll long seed) {
         new World(340, seed).run();
     }
 
-    /** The check itself must find out a directory that goes back. */
+    /** Verifies that the check detects the use of an ended incarnation. */
     @Example
-    void aRouterThatGoesBackIsFoundOut() {
+    void checkDetectsUseOfEndedIncarnation() {
         World w = new World(1, 1);
         Router r = w.mRouters.get(0);
         w.start(0);
         w.read(r);
-        r.mOver.add(r.mDirectory.find("t0").orElseThrow().start()); // and it is used on
+        r.mEnded.add(
+                r.mDirectory
+                        .find("t0")
+                        .orElseThrow()
+                        .incarnation()); // but the directory still uses it
         try {
             w.check(r);
         } catch (AssertionError e) {
             return;
         }
-        throw new AssertionError("work for a start that is over was not noticed");
+        throw new AssertionError("use of an ended incarnation not detected");
     }
 
-    /** Is the store, its copies, and routers that read it at moments of their own. */
+    /** Store with backups, and routers that read it at different times. */
     private static final class World {
         private final Random mRandom;
         private final List<Router> mRouters = new ArrayList<>();
-        private final List<Answer> mLate = new ArrayList<>();
+        private final List<Response> mResponses = new ArrayList<>();
         private Map<String, TargetEntry> mRows = new TreeMap<>();
-        private Map<String, TargetEntry> mCopy = new TreeMap<>();
+        private Map<String, TargetEntry> mBackup = new TreeMap<>();
         private final Map<String, TargetEntry> mAlive = new TreeMap<>();
         private StorePosition mPosition = StorePosition.of(1, 1);
-        private StorePosition mCopied = mPosition;
-        private long mReturnedAt = Long.MIN_VALUE / 2;
+        private StorePosition mBackupPosition = mPosition;
+        private long mRestoredAt = Long.MIN_VALUE / 2;
         private long mBorn = 1_000_000;
         private long mNow = 1_000;
 
-        /** Is an answer of the store that may arrive late. */
-        private record Answer(StorePosition position, List<TargetEntry> rows) {}
+        /** Response of the store, which may arrive late. */
+        private record Response(StorePosition position, List<TargetEntry> rows) {}
 
         World(int routers, long seed) {
             mRandom = new Random(seed);
@@ -202,7 +210,7 @@
                 event(mRandom.nextInt(TARGETS));
                 Router r = mRouters.get(mRandom.nextInt(mRouters.size()));
                 read(r);
-                lateAnswer(r);
+                lateResponse(r);
                 check(r);
             }
         }
@@ -214,15 +222,18 @@
                 case 1 -> leave(id);
                 case 2 -> end(id);
                 case 3 -> {
-                    mCopy = new TreeMap<>(mRows);
-                    mCopied = mPosition;
+                    mBackup = new TreeMap<>(mRows);
+                    mBackupPosition = mPosition;
                 }
-                case 4 -> comeBack();
-                default -> pass(1 + mRandom.nextLong(900));
+                case 4 -> restore();
+                default -> advanceTime(1 + mRandom.nextLong(900));
             }
         }
 
-        /** Starts a target anew; its time of day may have stepped back, and no start is like it. */
+        /**
+         * Starts a new incarnation with a unique start time; the target's clock may have stepped
+         * back.
+         */
         void start(int target) {
             mBorn += 1 + mRandom.nextLong(1_000);
             put(entry("t" + target, false, mRandom.nextBoolean() ? mBorn : -mBorn));
@@ -244,76 +255,78 @@
             mPosition = StorePosition.of(mPosition.era(), mPosition.revision() + 1);
         }
 
-        private void comeBack() {
-            mRows = new TreeMap<>(mCopy);
-            mPosition = StorePosition.of(mPosition.era() + 1, mCopied.revision());
-            mReturnedAt = mNow;
+        private void restore() {
+            mRows = new TreeMap<>(mBackup);
+            mPosition = StorePosition.of(mPosition.era() + 1, mBackupPosition.revision());
+            mRestoredAt = mNow;
         }
 
-        /** What lives is written again, what does not lapses. */
-        private void pass(long millis) {
+        /** Advances time; live targets rewrite their rows and other rows expire. */
+        private void advanceTime(long millis) {
             mNow += millis;
-            if (mNow - mReturnedAt >= WRITTEN_AGAIN_MILLIS - 500) {
+            if (mNow - mRestoredAt >= REWRITE_MILLIS - 500) {
                 mAlive.values().stream()
                         .filter(e -> !e.equals(mRows.get(e.id())))
                         .toList()
                         .forEach(this::put);
             }
-            if (mNow - mReturnedAt >= COPIED_MILLIS) {
+            if (mNow - mRestoredAt >= STALE_ROW_MILLIS) {
                 mRows.keySet().retainAll(mAlive.keySet());
             }
         }
 
         void read(Router r) {
-            Answer a = new Answer(mPosition, List.copyOf(mRows.values()));
-            r.take(a.position(), a.rows(), mNow);
-            mLate.add(a);
+            Response response = new Response(mPosition, List.copyOf(mRows.values()));
+            r.apply(response.position(), response.rows(), mNow);
+            mResponses.add(response);
         }
 
-        /** Answers of before, also of an earlier era, may arrive after newer ones. */
-        private void lateAnswer(Router r) {
-            Answer late = mLate.get(mRandom.nextInt(mLate.size()));
+        /** Delivers an earlier response, possibly of an earlier era, after newer ones. */
+        private void lateResponse(Router r) {
+            Response late = mResponses.get(mRandom.nextInt(mResponses.size()));
             if (late.position().isBefore(r.mDirectory.position())) {
-                r.take(late.position(), late.rows(), mNow);
+                r.apply(late.position(), late.rows(), mNow);
             }
         }
 
         void check(Router r) {
             for (Target t : r.mDirectory.all()) {
-                assertWithMessage("%s at %s of %s", t.entry(), mNow, mPosition)
-                        .that(t.takesWork(mNow) && r.mOver.contains(t.start()))
+                assertWithMessage("%s at %s ms, store position %s", t.entry(), mNow, mPosition)
+                        .that(t.acceptsRequests(mNow) && r.mEnded.contains(t.incarnation()))
                         .isFalse();
             }
             for (TargetEntry e : mRows.values()) {
-                boolean isNew = e.equals(mAlive.get(e.id())) && !e.leaving();
-                boolean knownGone = r.mOver.contains(e.start());
-                if (isNew && !knownGone) {
-                    assertWithMessage("%s at %s of %s", e, mNow, mPosition)
-                            .that(r.mDirectory.find(e.id()).orElseThrow().takesWork(mNow))
+                boolean usable = e.equals(mAlive.get(e.id())) && !e.leaving();
+                boolean knownEnded = r.mEnded.contains(e.incarnation());
+                if (usable && !knownEnded) {
+                    assertWithMessage("%s at %s ms, store position %s", e, mNow, mPosition)
+                            .that(r.mDirectory.find(e.id()).orElseThrow().acceptsRequests(mNow))
                             .isTrue();
                 }
             }
         }
     }
 
-    /** Is a router, with a plain record of the starts that it was told are leaving or over. */
+    /** Router with a model of the incarnations that it knows to be leaving or ended. */
     private static final class Router {
         private final TargetDirectory mDirectory = TargetDirectory.create();
-        private final Set<TargetStart> mOver = new HashSet<>();
+        private final Set<TargetIncarnation> mEnded = new HashSet<>();
 
-        void take(StorePosition position, List<TargetEntry> rows, long now) {
-            boolean isNews = !position.isBefore(mDirectory.position());
+        void apply(StorePosition position, List<TargetEntry> rows, long now) {
+            boolean current = !position.isBefore(mDirectory.position());
             for (TargetChange c : mDirectory.apply(position, rows, now)) {
-                note(c);
+                onChange(c);
             }
-            if (isNews) {
-                rows.stream().filter(TargetEntry::leaving).forEach(e -> mOver.add(e.start()));
+            if (current) {
+                rows.stream()
+                        .filter(TargetEntry::leaving)
+                        .forEach(e -> mEnded.add(e.incarnation()));
             }
         }
 
-        private void note(TargetChange c) {
+        private void onChange(TargetChange c) {
             if (c.kind() == TargetChange.Kind.GONE) {
-                mOver.add(c.entry().start());
+                mEnded.add(c.entry().incarnation());
             }
         }
     }
--- a/forkseam-core/src/test/java/org/forkseam/core/member/TargetDirectoryTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/member/TargetDirectoryTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Tests what is believed of targets by the lists read. */
+/** Tests the state of targets after target list updates. */
 class TargetDirectoryTest {
     private static final long NOW = 20;
 
@@ -18,70 +18,67 @@
         return new TargetEntry(id, "pool", "10.0.0.1:1", "z", 8, leaving, 0);
     }
 
-    private boolean takesWork(String id) {
-        return mDirectory.find(id).map(t -> t.takesWork(NOW)).orElse(false);
+    private boolean acceptsRequests(String id) {
+        return mDirectory.find(id).map(t -> t.acceptsRequests(NOW)).orElse(false);
     }
 
     @Test
-    void aLeavingTargetTakesNoWork() {
+    void leavingTargetAcceptsNoRequests() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(entry("a", false)), 0);
         mDirectory.apply(StorePosition.of(0, 2), List.of(entry("a", true)), 10);
-        assertThat(takesWork("a")).isFalse();
+        assertThat(acceptsRequests("a")).isFalse();
     }
 
     @Test
-    void aMissingTargetTakesNoWork() {
+    void unlistedTargetAcceptsNoRequests() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(entry("a", false)), 0);
         Target a = mDirectory.find("a").orElseThrow();
         mDirectory.apply(StorePosition.of(0, 2), List.of(), 10);
-        assertThat(takesWork("a")).isFalse();
-        assertThat(a.takesWork(NOW)).isFalse();
+        assertThat(acceptsRequests("a")).isFalse();
+        assertThat(a.acceptsRequests(NOW)).isFalse();
     }
 
     @Test
-    void anOlderListChangesNothing() {
+    void olderListIsIgnored() {
         mDirectory.apply(StorePosition.of(0, 5), List.of(entry("a", true)), 0);
         assertThat(mDirectory.apply(StorePosition.of(0, 4), List.of(entry("a", false)), 10))
                 .isEmpty();
-        assertThat(takesWork("a")).isFalse();
+        assertThat(acceptsRequests("a")).isFalse();
     }
 
     @Test
-    void entriesThatLapsedInAnOutageAreKeptUntilTheyAreBack() {
+    void entriesExpiredDuringAnOutageAreRetained() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(entry("a", false)), 0);
-        mDirectory.onSourceBack(6_000, 5_000);
+        mDirectory.onSourceRecovered(6_000, 5_000);
         mDirectory.apply(StorePosition.of(0, 2), List.of(), 6_010);
-        assertThat(takesWork("a")).isTrue();
+        assertThat(acceptsRequests("a")).isTrue();
         mDirectory.apply(StorePosition.of(0, 3), List.of(), 8_200);
-        assertThat(takesWork("a")).isFalse();
+        assertThat(acceptsRequests("a")).isFalse();
     }
 
-    /** One failed call to the store kept targets that had left for two seconds. */
+    /** An outage too short for entries to expire must not delay the removal of targets. */
     @Test
-    void aFailedCallIsNoOutage() {
+    void shortOutageRetainsNothing() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(entry("a", false)), 0);
-        mDirectory.onSourceBack(1_200, 1_100);
+        mDirectory.onSourceRecovered(1_200, 1_100);
         mDirectory.apply(StorePosition.of(0, 2), List.of(), 1_210);
-        assertThat(takesWork("a")).isFalse();
+        assertThat(acceptsRequests("a")).isFalse();
     }
 
-    /**
-     * A list told by a peer to be unchanged kept a lapsed entry for good: what is kept for a while
-     * must be looked at again.
-     */
+    /** Without this report, an unchanged list would retain expired entries forever. */
     @Test
-    void keptEntriesAreToBeLookedAtAgain() {
+    void retainedEntriesAreReported() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(entry("a", false)), 0);
-        assertThat(mDirectory.keepsMissing()).isFalse();
-        mDirectory.onSourceBack(6_000, 5_000);
+        assertThat(mDirectory.retainsUnlisted()).isFalse();
+        mDirectory.onSourceRecovered(6_000, 5_000);
         mDirectory.apply(StorePosition.of(0, 2), List.of(), 6_010);
-        assertThat(mDirectory.keepsMissing()).isTrue();
+        assertThat(mDirectory.retainsUnlisted()).isTrue();
         mDirectory.apply(StorePosition.of(0, 2), List.of(), 8_200);
-        assertThat(mDirectory.keepsMissing()).isFalse();
+        assertThat(mDirectory.retainsUnlisted()).isFalse();
     }
 
     @Test
-    void changesAreTold() {
+    void changesAreReturned() {
         assertThat(mDirectory.apply(StorePosition.of(0, 1), List.of(entry("a", false)), 0))
                 .containsExactly(new TargetChange(entry("a", false), TargetChange.Kind.JOINED));
         assertThat(mDirectory.apply(StorePosition.of(0, 2), List.of(entry("a", true)), 1))
@@ -91,17 +88,17 @@
     }
 
     @Test
-    void targetsOfAnEvacuatedDomainStayAndTakeNoWork() {
+    void evacuatedTargetsStayInPoolWithoutRequests() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(entry("a", false)), 0);
-        mDirectory.setEvacuated(Set.of("z"), 5);
+        mDirectory.setEvacuatedDomains(Set.of("z"), 5);
         mDirectory.apply(
                 StorePosition.of(0, 2), List.of(entry("a", false), entry("late", false)), 10);
-        assertThat(takesWork("a")).isFalse();
-        assertThat(takesWork("late")).isFalse();
-        assertThat(mDirectory.find("a").orElseThrow().stays()).isTrue();
-        mDirectory.setEvacuated(Set.of("other"), 20);
-        assertThat(takesWork("a")).isTrue();
-        assertThat(takesWork("late")).isTrue();
+        assertThat(acceptsRequests("a")).isFalse();
+        assertThat(acceptsRequests("late")).isFalse();
+        assertThat(mDirectory.find("a").orElseThrow().isPoolMember()).isTrue();
+        mDirectory.setEvacuatedDomains(Set.of("other"), 20);
+        assertThat(acceptsRequests("a")).isTrue();
+        assertThat(acceptsRequests("late")).isTrue();
     }
 
     // ---------------------------------------------------------------- starts under the same id
@@ -114,32 +111,32 @@
         return mDirectory.find("a").orElseThrow();
     }
 
-    /** Nothing that was learned of a target holds once it has started again. */
+    /** No state of the previous incarnation is carried over. */
     @Test
-    void aTargetThatStartsAgainBeginsAnew() {
+    void restartResetsState() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(born("a", 5_000)), 0);
-        Target before = a();
-        before.onSent(10);
-        before.onLoad(40, 10);
-        before.onRefused(10);
-        before.health().onFailure(10);
-        before.onReplaced();
+        Target previous = a();
+        previous.onRequestSent(10);
+        previous.onLoadReported(40, 10);
+        previous.onRequestRefused(10);
+        previous.health().onFailure(10);
+        previous.onReplaced();
         List<TargetChange> changes =
                 mDirectory.apply(StorePosition.of(0, 2), List.of(born("a", 6_000)), 20);
         assertThat(changes)
                 .containsExactly(new TargetChange(born("a", 6_000), TargetChange.Kind.RESTARTED));
-        assertThat(a()).isNotSameInstanceAs(before);
-        assertThat(a().takesWork(NOW)).isTrue();
+        assertThat(a()).isNotSameInstanceAs(previous);
+        assertThat(a().acceptsRequests(NOW)).isTrue();
         assertThat(a().inFlight()).isEqualTo(0);
-        assertThat(a().readingAgeMillis(20)).isEqualTo(-1);
+        assertThat(a().loadReportAgeMillis(20)).isEqualTo(-1);
         assertThat(a().isFull(20)).isFalse();
-        assertThat(a().health().share(20)).isEqualTo(1.0);
-        assertThat(before.takesWork(NOW)).isFalse();
+        assertThat(a().health().trafficShare(20)).isEqualTo(1.0);
+        assertThat(previous.acceptsRequests(NOW)).isFalse();
     }
 
-    /** The time of day of a host may have stepped back: the newer list decides. */
+    /** The clock of a host may step back, so the newer list decides. */
     @Test
-    void aLaterStartMayHaveASmallerNumber() {
+    void laterIncarnationMayHaveEarlierStartTime() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(born("a", 6_000)), 0);
         mDirectory.apply(StorePosition.of(0, 3), List.of(born("a", 4_000)), 10);
         assertThat(a().entry().born()).isEqualTo(4_000);
@@ -148,20 +145,22 @@
         assertThat(a().entry().born()).isEqualTo(4_000);
     }
 
-    /** What other routers told of the start before arrives late, and names nothing any more. */
+    /** Late reports about an earlier incarnation must not be applied to the current one. */
     @Test
-    void newsOfAnEarlierStartNameNoTarget() {
+    void hashOfEarlierIncarnationFindsNoTarget() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(born("a", 5_000)), 0);
-        int earlier = a().shortHash();
+        int earlierHash = a().shortHash();
         mDirectory.apply(StorePosition.of(0, 2), List.of(born("a", 6_000)), 10);
-        assertThat(mDirectory.findByShortHash(earlier).isPresent()).isFalse();
+        assertThat(mDirectory.findByShortHash(earlierHash).isPresent()).isFalse();
         assertThat(mDirectory.findByShortHash(a().shortHash()).isPresent()).isTrue();
-        assertThat(mDirectory.findReachable(new TargetStart("a", 5_000), 10).isPresent()).isFalse();
-        assertThat(mDirectory.findReachable(new TargetStart("a", 6_000), 10).isPresent()).isTrue();
+        assertThat(mDirectory.findReachable(new TargetIncarnation("a", 5_000), 10).isPresent())
+                .isFalse();
+        assertThat(mDirectory.findReachable(new TargetIncarnation("a", 6_000), 10).isPresent())
+                .isTrue();
     }
 
     @Test
-    void anEntryThatLapsedMayComeBackWithTheSameStartOrAnother() {
+    void expiredEntryMayReturnWithSameOrNewIncarnation() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(born("a", 5_000), born("b", 5_000)), 0);
         mDirectory.apply(StorePosition.of(0, 2), List.of(), 10);
         assertThat(
@@ -174,12 +173,11 @@
                         new TargetChange(born("b", 7_000), TargetChange.Kind.RESTARTED));
     }
 
-    /** An evacuated domain stays evacuated whatever its targets do. */
     @Test
-    void aTargetThatStartsAgainStaysEvacuated() {
-        mDirectory.setEvacuated(Set.of("z"), 0);
+    void restartedTargetStaysEvacuated() {
+        mDirectory.setEvacuatedDomains(Set.of("z"), 0);
         mDirectory.apply(StorePosition.of(0, 1), List.of(born("a", 5_000)), 0);
         mDirectory.apply(StorePosition.of(0, 2), List.of(born("a", 6_000)), 10);
-        assertThat(a().takesWork(NOW)).isFalse();
+        assertThat(a().acceptsRequests(NOW)).isFalse();
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/member/TargetHealthTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/member/TargetHealthTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A failing target loses its traffic and gets it back by a ramp. */
+/** Tests the ejection of failing targets and the ramp-up of their traffic. */
 class TargetHealthTest {
     private final TargetHealth mHealth = new TargetHealth();
 
@@ -14,43 +14,43 @@
     }
 
     @Test
-    void oneFailureIsForgiven() {
+    void singleFailureDoesNotEject() {
         mHealth.onFailure(0);
-        assertThat(mHealth.share(1)).isEqualTo(1.0);
+        assertThat(mHealth.trafficShare(1)).isEqualTo(1.0);
     }
 
     @Test
-    void manyRequestsFailingAtOnceEjectOnlyOnce() {
+    void concurrentFailuresEjectOnce() {
         for (int i = 0; i < 50; i++) {
             mHealth.onFailure(0);
         }
-        assertThat(mHealth.share(600)).isGreaterThan(0.0);
+        assertThat(mHealth.trafficShare(600)).isGreaterThan(0.0);
     }
 
     @Test
-    void comesBackByARamp() {
+    void trafficRampsUpAfterEjection() {
         eject(0);
-        assertThat(mHealth.share(100)).isEqualTo(0.0);
-        double early = mHealth.share(600);
-        double late = mHealth.share(4000);
+        assertThat(mHealth.trafficShare(100)).isEqualTo(0.0);
+        double early = mHealth.trafficShare(600);
+        double late = mHealth.trafficShare(4000);
         assertThat(early).isLessThan(0.2);
         assertThat(late).isGreaterThan(early);
-        assertThat(mHealth.share(6000)).isEqualTo(1.0);
+        assertThat(mHealth.trafficShare(6000)).isEqualTo(1.0);
     }
 
     @Test
-    void flappingTargetStaysOutLongerEachTime() {
+    void ejectionTimeGrowsForFlappingTarget() {
         long now = 0;
         long last = 0;
         for (int i = 0; i < 5; i++) {
             eject(now);
-            long out = 0;
-            while (mHealth.share(now + out) == 0) {
-                out += 100;
+            long ejectedMillis = 0;
+            while (mHealth.trafficShare(now + ejectedMillis) == 0) {
+                ejectedMillis += 100;
             }
-            assertThat(out).isGreaterThan(last);
-            last = out;
-            now += out;
+            assertThat(ejectedMillis).isGreaterThan(last);
+            last = ejectedMillis;
+            now += ejectedMillis;
             mHealth.onSuccess(now);
         }
     }
--- a/forkseam-core/src/test/java/org/forkseam/core/orders/RolloutPlannerTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/orders/RolloutPlannerTest.java
@@ -14,17 +14,18 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** Steps stay within the budget, spread over failure domains and lead to what is declared. */
+/** Tests that rollouts stay within the budget, spread over failure domains and converge. */
 class RolloutPlannerTest {
     private static final EngineState OLD = new EngineState("lm", "", "1", "both");
-    private static final EngineState WISH = new EngineState("lm", "", "2", "");
+    private static final EngineState DESIRED = new EngineState("lm", "", "2", "");
 
     private static DeploymentSpec spec(int targets, int budget) {
-        return new DeploymentSpec("d", Selector.all(), WISH, targets, budget);
+        return new DeploymentSpec("d", Selector.all(), DESIRED, targets, budget);
     }
 
-    private static RolloutPlanner.Observed engine(int i, EngineState state, boolean changing) {
-        return new RolloutPlanner.Observed(
+    private static RolloutPlanner.ObservedEngine engine(
+            int i, EngineState state, boolean changing) {
+        return new RolloutPlanner.ObservedEngine(
                 "t" + i, "d" + i % 3, Optional.ofNullable(state), changing);
     }
 
@@ -33,7 +34,7 @@
             @ForAll Random random,
             @ForAll @IntRange(min = 1, max = 15) int n,
             @ForAll @IntRange(min = 1, max = 4) int budget) {
-        List<RolloutPlanner.Observed> engines = new ArrayList<>();
+        List<RolloutPlanner.ObservedEngine> engines = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             engines.add(engine(i, OLD, false));
         }
@@ -43,19 +44,20 @@
                 int i = Integer.parseInt(t.substring(1));
                 engines.set(i, engine(i, OLD, true));
             }
-            long changing = engines.stream().filter(RolloutPlanner.Observed::changing).count();
+            long changing =
+                    engines.stream().filter(RolloutPlanner.ObservedEngine::changing).count();
             assertThat(changing).isAtMost(budget);
             int i = random.nextInt(n);
             if (engines.get(i).changing()) {
-                engines.set(i, engine(i, random.nextInt(4) == 0 ? OLD : WISH, false));
+                engines.set(i, engine(i, random.nextInt(4) == 0 ? OLD : DESIRED, false));
             }
         }
-        assertThat(engines.stream().allMatch(e -> e.meets(WISH))).isTrue();
+        assertThat(engines.stream().allMatch(e -> e.satisfies(DESIRED))).isTrue();
     }
 
     @Test
-    void newOnesSpreadOverFailureDomains() {
-        List<RolloutPlanner.Observed> engines = new ArrayList<>();
+    void updatesSpreadOverFailureDomains() {
+        List<RolloutPlanner.ObservedEngine> engines = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             engines.add(engine(i, OLD, false));
         }
@@ -63,16 +65,16 @@
     }
 
     @Test
-    void enginesThatDoNotAnswerUseTheBudgetUp() {
-        List<RolloutPlanner.Observed> engines =
+    void unresponsiveEnginesUseTheBudget() {
+        List<RolloutPlanner.ObservedEngine> engines =
                 List.of(engine(0, null, false), engine(1, OLD, false), engine(2, OLD, false));
         assertThat(RolloutPlanner.next(spec(0, 1), engines)).isEmpty();
     }
 
     @Test
-    void nothingIsOrderedOnceEnoughMeetTheWish() {
-        List<RolloutPlanner.Observed> engines =
-                List.of(engine(0, WISH, false), engine(1, OLD, false));
+    void nothingIsOrderedOnceEnoughMatch() {
+        List<RolloutPlanner.ObservedEngine> engines =
+                List.of(engine(0, DESIRED, false), engine(1, OLD, false));
         assertThat(RolloutPlanner.next(spec(1, 2), engines)).isEmpty();
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/outcome/ComeBackTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/outcome/RetryDelayEstimatorTest.java
@@ -11,33 +11,36 @@
 
 import java.util.List;
 
-/** Tests when refused callers are asked to come back. */
-class ComeBackTest {
-    private final ComeBack mComeBack = ComeBack.since(0);
+/** Tests the delay after which refused callers retry. */
+class RetryDelayEstimatorTest {
+    private final RetryDelayEstimator mEstimator = RetryDelayEstimator.startingAt(0);
 
     private long refuse(int count, long now) {
         long last = 0;
         for (int i = 0; i < count; i++) {
-            last = mComeBack.onRefused(now);
+            last = mEstimator.onRefused(now);
         }
         return last;
     }
 
     private void serve(int count, long from, long to) {
         for (int i = 0; i < count; i++) {
-            mComeBack.onServed(from + (to - from) * i / count);
+            mEstimator.onServed(from + (to - from) * i / count);
         }
     }
 
     @Test
-    void aPoolThatServesHasRoomSoon() {
+    void idlePoolGetsTheMinimumDelay() {
         serve(50, 0, 1_000);
         assertThat(refuse(1, 1_000)).isEqualTo(100);
     }
 
-    /** Thirty refused at a pool that serves some thirty a second: about a second. */
+    /**
+     * Thirty refusals at a pool that serves about thirty requests per second give a delay of about
+     * a second.
+     */
     @Test
-    void theMoreAreRefusedTheLaterTheyComeBack() {
+    void delayGrowsWithRefusals() {
         serve(150, 0, 5_000);
         long few = refuse(10, 5_000);
         long many = refuse(20, 5_000);
@@ -47,26 +50,26 @@
     }
 
     @Test
-    void whatWasRefusedLongAgoCountsNoMore() {
+    void oldRefusalsDecay() {
         refuse(100, 0);
         serve(30, 9_000, 10_000);
         assertThat(refuse(1, 10_000)).isEqualTo(100);
     }
 
-    /** Whatever happens: never sooner than anything can change, never very late. */
+    /** The delay stays within its bounds for any sequence of requests. */
     @Property(seed = "4741")
-    void theWaitStaysWithinItsBounds(
+    void delayStaysWithinBounds(
             @ForAll @Size(max = 80) List<@IntRange(max = 3_000) Integer> pauses) {
-        ComeBack c = ComeBack.since(0);
+        RetryDelayEstimator estimator = RetryDelayEstimator.startingAt(0);
         long now = 0;
         for (int p : pauses) {
             now += p;
             if (p % 3 == 0) {
-                c.onServed(now);
+                estimator.onServed(now);
                 continue;
             }
-            assertThat(c.onRefused(now)).isAtLeast(100L);
-            assertThat(c.onRefused(now)).isAtMost(2_000L);
+            assertThat(estimator.onRefused(now)).isAtLeast(100L);
+            assertThat(estimator.onRefused(now)).isAtMost(2_000L);
         }
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/outcome/RetryTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/outcome/RetryTest.java
@@ -9,11 +9,11 @@
 
 import java.util.SplittableRandom;
 
-/** Only what is provably safe is tried again, and never without bound. */
+/** Tests that only provably safe retries are allowed, and that retries are limited. */
 class RetryTest {
     @ParameterizedTest
     @CsvSource({
-        // kind, reason, unrepeatable, shown, retry
+        // kind, reason, unrepeatable, response started, retry
         "NOT_RUN,      OVER_BOUND,    true,  false, true",
         "NOT_RUN,      LEAVING,       true,  false, true",
         "NOT_RUN,      UNREACHABLE,   true,  false, true",
@@ -31,17 +31,19 @@
             OutcomeKind kind,
             RefusalReason reason,
             boolean unrepeatable,
-            boolean shown,
+            boolean responseStarted,
             boolean retry) {
-        Refused r = new Refused(kind, reason, 0, "", "");
-        assertThat(RetryPolicy.maySafelyRetry(r, unrepeatable, shown)).isEqualTo(retry);
+        AttemptFailure r = new AttemptFailure(kind, reason, 0, "", "");
+        assertThat(RetryPolicy.maySafelyRetry(r, unrepeatable, responseStarted)).isEqualTo(retry);
     }
 
     @ParameterizedTest
     @EnumSource(RefusalReason.class)
     void unrepeatableThatMayHaveRunIsNeverRetried(RefusalReason reason) {
-        assertThat(RetryPolicy.maySafelyRetry(Refused.mayHaveRun(reason), true, false)).isFalse();
-        assertThat(RetryPolicy.maySafelyRetry(Refused.failed(reason, ""), true, false)).isFalse();
+        assertThat(RetryPolicy.maySafelyRetry(AttemptFailure.mayHaveRun(reason), true, false))
+                .isFalse();
+        assertThat(RetryPolicy.maySafelyRetry(AttemptFailure.failed(reason, ""), true, false))
+                .isFalse();
     }
 
     @Test
@@ -59,10 +61,13 @@
     }
 
     @Test
-    void refusedCallersDoNotComeBackTogether() {
+    void retryDelaysAreJittered() {
         SplittableRandom random = new SplittableRandom(1);
         long distinct =
-                random.ints(100).mapToLong(i -> RetryAfter.spread(2000, random)).distinct().count();
+                random.ints(100)
+                        .mapToLong(i -> RetryAfter.withJitter(2000, random))
+                        .distinct()
+                        .count();
         assertThat(distinct).isGreaterThan(80);
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/route/CandidateFilterTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/CandidateFilterTest.java
@@ -57,7 +57,7 @@
     @Test
     void aTargetThatRefusedIsPassedOverForAMoment() {
         List<Target> pool = Targets.ready(3);
-        pool.get(0).onRefused(100);
+        pool.get(0).onRequestRefused(100);
         assertThat(mFilter.of(pool, Set.of(), 120).targets()).doesNotContain(pool.get(0));
         assertThat(mFilter.of(pool, Set.of(), 500).targets()).contains(pool.get(0));
     }
@@ -65,7 +65,7 @@
     @Test
     void aSilentTargetIsLeftOut() {
         List<Target> pool = Targets.ready(3);
-        pool.get(0).onSent(0);
+        pool.get(0).onRequestSent(0);
         assertThat(mFilter.of(pool, Set.of(), 2_000).targets()).doesNotContain(pool.get(0));
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/route/FullPlacesTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/FullPlacesTest.java
@@ -32,8 +32,8 @@
     @Test
     void aHomeWithoutAPlaceIsPassedOverWhileOthersHaveRoom() {
         Target home = home();
-        mPool.forEach(t -> t.onLoad(8, 0));
-        home.onLoad(16, 0);
+        mPool.forEach(t -> t.onLoadReported(8, 0));
+        home.onLoadReported(16, 0);
         Pick p = mPicker.pick(REQUEST, mPool, 0).orElseThrow();
         assertThat(p.reason()).isEqualTo(Pick.Reason.SPILL);
         assertThat(p.load()).isEqualTo(8);
@@ -42,15 +42,15 @@
     @Test
     void aHomeWithAFreePlaceKeepsItsKeys() {
         Target home = home();
-        mPool.forEach(t -> t.onLoad(4, 0));
-        home.onLoad(8, 0);
+        mPool.forEach(t -> t.onLoadReported(4, 0));
+        home.onLoadReported(8, 0);
         assertThat(mPicker.pick(REQUEST, mPool, 0).orElseThrow().target()).isSameInstanceAs(home);
     }
 
     @Test
     void whenAllAreFullAlikeKeysStayAtHome() {
         Target home = home();
-        mPool.forEach(t -> t.onLoad(14, 0));
+        mPool.forEach(t -> t.onLoadReported(14, 0));
         assertThat(mPicker.pick(REQUEST, mPool, 0).orElseThrow().target()).isSameInstanceAs(home);
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/route/HolderMemoryTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/HolderMemoryTest.java
@@ -5,7 +5,7 @@
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.member.TargetEntry;
-import org.forkseam.core.member.TargetStart;
+import org.forkseam.core.member.TargetIncarnation;
 import org.forkseam.core.store.StorePosition;
 import org.junit.jupiter.api.Test;
 
@@ -27,8 +27,8 @@
         return new TargetEntry(id, "pool", "10.0.0.1:1", "z", 8, false, 0);
     }
 
-    private static TargetStart start(String id) {
-        return new TargetStart(id, 0);
+    private static TargetIncarnation start(String id) {
+        return new TargetIncarnation(id, 0);
     }
 
     private Target target(String id) {
@@ -62,7 +62,7 @@
         mDirectory.apply(StorePosition.of(0, 2), List.of(entry("a"), again, entry("c")), 50);
         assertThat(source("c", 100, "c")).isEqualTo(Optional.of("a"));
         assertThat(source("b", 100, "b")).isEqualTo(Optional.of("a"));
-        mMemory.onAnswered(KEY, again.start(), 110);
+        mMemory.onAnswered(KEY, again.incarnation(), 110);
         assertThat(source("c", 120, "c")).isEqualTo(Optional.of("b"));
     }
 
@@ -86,7 +86,7 @@
     @Test
     void aTargetThatLeftWithoutAWordIsASourceForAMoment() {
         mMemory.onAnswered(KEY, start("a"), 10);
-        target("a").onHeard(1_000);
+        target("a").onDataReceived(1_000);
         mDirectory.apply(StorePosition.of(0, 2), List.of(entry("b"), entry("c")), 1_500);
         assertThat(source("c", 2_000, "c")).isEqualTo(Optional.of("a"));
         assertThat(source("c", 9_000, "c")).isEqualTo(Optional.empty());
--- a/forkseam-core/src/test/java/org/forkseam/core/route/PoolModel.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/PoolModel.java
@@ -295,7 +295,7 @@
         mSpills.get(w.mRouter).onPick(pick.reason(), (long) mNow);
         w.mOutcome.mSpilled += pick.reason() == Pick.Reason.HOME ? 0 : 1;
         Target t = pick.target();
-        t.onSent((long) mNow);
+        t.onRequestSent((long) mNow);
         w.mTarget = t;
         w.mEngine = mEngines.get(targets.indexOf(t));
         at(mNow + WAY_MILLIS, () -> w.mEngine.take(w));
@@ -310,7 +310,7 @@
     double meanReadingAge() {
         return mRouters.stream()
                 .flatMap(List::stream)
-                .mapToLong(t -> t.readingAgeMillis((long) mNow))
+                .mapToLong(t -> t.loadReportAgeMillis((long) mNow))
                 .map(age -> age < 0 ? 10_000 : age)
                 .average()
                 .orElseThrow();
@@ -391,7 +391,7 @@
             if (mNow - w.mCameAt > w.mKind.deadline()) {
                 w.mOutcome.mLost++;
             }
-            w.mTarget.onLoad(load(), (long) mNow);
+            w.mTarget.onLoadReported(load(), (long) mNow);
             double step = STEP_MILLIS + MILLIS_PER_K * mContext / 1_000;
             double event = mSetup.fleet().mTokensAnEvent * step;
             at(mNow + events(w.mKind) * event, () -> end(w));
@@ -406,7 +406,7 @@
         }
 
         private void end(Work w) {
-            w.mTarget.onEnded();
+            w.mTarget.onRequestEnded();
             mRunning--;
             mContext -= w.mKind.shared() + w.mKind.own();
             if (!mQueue.isEmpty()) {
--- a/forkseam-core/src/test/java/org/forkseam/core/route/Targets.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/Targets.java
@@ -29,7 +29,7 @@
 
     static void load(Target t, int requests) {
         for (int i = 0; i < requests; i++) {
-            t.onSent(0);
+            t.onRequestSent(0);
         }
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/share/LeavingNewsTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/share/LeavingNewsTest.java
@@ -46,13 +46,13 @@
         }
 
         void onAnswer() {
-            if (mTarget.onSaysLeaving()) {
+            if (mTarget.onLeavingAnnounced()) {
                 mNews.add(mTarget.shortHash());
             }
         }
 
         void onToldLeaving(int start) {
-            if (mTargets.onToldLeaving(start).isPresent()) {
+            if (mTargets.onLeavingReported(start).isPresent()) {
                 mNews.add(start);
             }
         }
@@ -79,8 +79,8 @@
         for (int turn = 0; turn < SECONDS * TURNS_A_SECOND; turn++) {
             if (random.nextDouble() < requestsASecond / TURNS_A_SECOND) {
                 Router r = routers.get(random.nextInt(n));
-                reached += r.mTarget.takesWork(turn) ? 1 : 0;
-                if (r.mTarget.takesWork(turn)) {
+                reached += r.mTarget.acceptsRequests(turn) ? 1 : 0;
+                if (r.mTarget.acceptsRequests(turn)) {
                     r.onAnswer();
                 }
             }
--- a/forkseam-core/src/test/java/org/forkseam/core/share/LoadExchangeTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/share/LoadExchangeTest.java
@@ -24,33 +24,33 @@
     @Test
     void aReadingReachesARouterThatNeverAsked() {
         Target told = target("i");
-        told.onLoad(9, 1_000);
+        told.onLoadReported(9, 1_000);
         Target heard = target("i");
         LoadExchange.take(LoadExchange.digest(List.of(told), 1_200), only(heard), 5_000);
         assertThat(heard.othersInFlight(5_000)).isEqualTo(9);
-        assertThat(heard.readingAgeMillis(5_000)).isEqualTo(200);
+        assertThat(heard.loadReportAgeMillis(5_000)).isEqualTo(200);
     }
 
     @Test
     void ownRequestsAreNotCountedTwice() {
         Target heard = target("i");
-        heard.onSent(4_000);
-        heard.onLoadHeard(9, 5_000);
+        heard.onRequestSent(4_000);
+        heard.onLoadRelayed(9, 5_000);
         assertThat(heard.inFlight() + heard.othersInFlight(5_000)).isEqualTo(9);
     }
 
     @Test
     void anOlderReadingChangesNothing() {
         Target heard = target("i");
-        heard.onLoad(3, 5_000);
-        heard.onLoadHeard(9, 4_999);
-        assertThat(heard.loadTold()).isEqualTo(3);
+        heard.onLoadReported(3, 5_000);
+        heard.onLoadRelayed(9, 4_999);
+        assertThat(heard.reportedLoad()).isEqualTo(3);
     }
 
     @Test
     void whatIsOldOrUnknownIsNotPassedOn() {
         Target old = target("old");
-        old.onLoad(9, 1_000);
+        old.onLoadReported(9, 1_000);
         assertThat(LoadExchange.digest(List.of(old, target("unknown")), 2_001)).isEmpty();
     }
 
@@ -58,7 +58,7 @@
     void readingsOfUnknownTargetsArePassedOver() {
         Target known = target("i");
         LoadExchange.take(List.of(new LoadReading(77, 9, 0)), only(known), 5_000);
-        assertThat(known.readingAgeMillis(5_000)).isEqualTo(-1);
+        assertThat(known.loadReportAgeMillis(5_000)).isEqualTo(-1);
     }
 
     /** 830 targets: a digest holds the newest readings and stays within its bytes. */
@@ -67,7 +67,7 @@
         List<Target> targets = new ArrayList<>();
         for (int i = 0; i < 830; i++) {
             Target t = target("i-" + i);
-            t.onLoad(1, 1_000 + i);
+            t.onLoadReported(1, 1_000 + i);
             targets.add(t);
         }
         List<LoadReading> digest = LoadExchange.digest(targets, 1_900);
--- a/forkseam-core/src/test/java/org/forkseam/core/traffic/ConfigChangeTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/traffic/ConfigChangeTest.java
@@ -14,7 +14,10 @@
 import java.util.OptionalInt;
 import java.util.Random;
 
-/** Tests that a change leads to the newer configuration, and only from the one it was made from. */
+/**
+ * Tests that a change leads to the newer configuration, and applies only to the one it was computed
+ * from.
+ */
 class ConfigChangeTest {
     private static Route route(int n, int attempts) {
         return new Route(
@@ -41,9 +44,9 @@
                 routes.add(route(i, 1 + random.nextInt(2)));
             }
             if (random.nextBoolean()) {
-                OptionalInt rank =
+                OptionalInt priority =
                         random.nextBoolean() ? OptionalInt.empty() : OptionalInt.of(i % 3);
-                teams.put("k" + i, new Team("t" + i % 4, rank, List.of()));
+                teams.put("k" + i, new Team("t" + i % 4, priority, List.of()));
             }
             if (random.nextBoolean()) {
                 ColdStart cold = new ColdStart(3_000, random.nextInt(3));
@@ -60,11 +63,11 @@
         assertThat(got.pools()).containsExactlyElementsIn(expected.pools());
         assertThat(got.teamsByKey()).isEqualTo(expected.teamsByKey());
         assertThat(got.limits()).isEqualTo(expected.limits());
-        assertThat(got.fingerprint()).isEqualTo(ConfigParts.sum(got));
+        assertThat(got.fingerprint()).isEqualTo(ConfigFingerprint.of(got));
     }
 
     @Property(tries = 300)
-    void whoHoldsTheOlderOneGetsTheNewer(@ForAll long seed) {
+    void changeLeadsFromOlderToNewer(@ForAll long seed) {
         Random random = new Random(seed);
         TrafficConfig older = config(3, random);
         TrafficConfig newer = config(8, random);
@@ -72,22 +75,22 @@
         assertSame(older.with(change).orElseThrow(), newer);
     }
 
-    /** A storm of changes, one after another, as routers hear them. */
+    /** Applies a long sequence of changes. */
     @Property(tries = 50)
-    void changesFollowEachOther(@ForAll long seed) {
+    void consecutiveChangesApply(@ForAll long seed) {
         Random random = new Random(seed);
-        TrafficConfig told = config(1, random);
-        TrafficConfig known = told;
+        TrafficConfig published = config(1, random);
+        TrafficConfig known = published;
         for (int v = 2; v < 30; v++) {
             TrafficConfig next = config(v, random);
-            known = known.with(ConfigChange.between(told, next).orElseThrow()).orElseThrow();
-            told = next;
+            known = known.with(ConfigChange.between(published, next).orElseThrow()).orElseThrow();
+            published = next;
         }
-        assertSame(known, told);
+        assertSame(known, published);
     }
 
     @Property(tries = 200)
-    void whoHoldsAnotherOneIsToldNothing(@ForAll long seed) {
+    void changeIsRejectedByOtherConfigurations(@ForAll long seed) {
         Random random = new Random(seed);
         TrafficConfig older = config(3, random);
         ConfigChange change = ConfigChange.between(older, config(8, random)).orElseThrow();
@@ -99,7 +102,7 @@
     }
 
     @Test
-    void routesOfOneNameCannotBeTold() {
+    void duplicateRouteNamesHaveNoChange() {
         TrafficConfig twice =
                 TrafficConfig.of(
                         2,
--- a/forkseam-core/src/test/java/org/forkseam/core/traffic/TrafficConfigTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/traffic/TrafficConfigTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 
-/** Tests how requests find their routes, pools and teams. */
+/** Tests the lookup of routes, pools and teams. */
 class TrafficConfigTest {
     private static Route route(String name, String prefix, PoolShare... shares) {
         return new Route(
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aWeightOfZeroGetsNothing() {
+    void zeroWeightGetsNoRequests() {
         Route r = route("r", "/x/", new PoolShare("p", 0), new PoolShare("q", 1));
         for (int i = 0; i < 100; i++) {
             assertThat(r.pool("request" + i)).isEqualTo("q");
@@ -81,13 +81,13 @@
     }
 
     @Test
-    void aRouterThatKnowsNothingSaysSo() {
+    void emptyConfigurationIsNotKnown() {
         assertThat(TrafficConfig.none().isKnown()).isFalse();
         assertThat(CONFIG.isKnown()).isTrue();
     }
 
     @Test
-    void theLastPartButOneIsTheKeyOfAPrompt() {
+    void secondToLastPartIsThePromptKey() {
         Prompt p =
                 new Prompt(
                         "m",
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderDesk.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderDesk.java
@@ -70,7 +70,7 @@
             return ask(order, OrderResult.STATE);
         }
         FenceGuard guard = mGuards.computeIfAbsent(order.getDeployment(), k -> new FenceGuard());
-        if (!guard.mustLearn()) {
+        if (!guard.isUninitialized()) {
             return pass(order, guard);
         }
         // An earlier incarnation of this sidecar may have passed a newer fence on.
@@ -84,7 +84,7 @@
     }
 
     private static boolean learn(FenceGuard guard, Optional<Row> row) {
-        guard.learn(row.map(r -> LeaseKeeper.read(r).fence()).orElse(0L));
+        guard.initialize(row.map(r -> LeaseKeeper.read(r).fence()).orElse(0L));
         return true;
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
@@ -189,14 +189,14 @@
         }
 
         private void plan(DeploymentSpec spec, List<TargetView> engines, long fence) {
-            List<RolloutPlanner.Observed> observed = new ArrayList<>();
+            List<RolloutPlanner.ObservedEngine> observed = new ArrayList<>();
             Map<String, TargetView> byName = new HashMap<>();
             for (TargetView t : engines) {
                 byName.put(t.name(), t);
                 Told k = mTold.get(t.name());
                 boolean fresh = k != null && mClock.nowMillis() - k.atMillis() < STALE_MILLIS;
                 observed.add(
-                        new RolloutPlanner.Observed(
+                        new RolloutPlanner.ObservedEngine(
                                 t.name(),
                                 t.failureDomain(),
                                 fresh ? Optional.of(k.state()) : Optional.empty(),
@@ -209,7 +209,7 @@
 
         /** Marks the engine as changing at once, so that the next plan counts it. */
         private void order(DeploymentSpec spec, TargetView target, long fence) {
-            EngineState w = spec.wish();
+            EngineState w = spec.desired();
             Told before = mTold.get(target.name());
             mTold.put(target.name(), new Told(before.state(), true, mClock.nowMillis()));
             permit(w.weights())
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempt.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempt.java
@@ -1,9 +1,9 @@
 package org.forkseam.daemon.router;
 
-import org.forkseam.core.answer.AnswerAssembler;
+import org.forkseam.core.answer.ResponseAssembler;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.OutcomeKind;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.core.route.Candidate;
 import org.forkseam.wire.Link;
 import org.forkseam.wire.proto.Cancel;
@@ -34,7 +34,7 @@
         void onWhole(Attempt attempt, End end);
 
         /** Receives that there is no answer, or no more of it. */
-        void onLost(Attempt attempt, Refused why);
+        void onLost(Attempt attempt, AttemptFailure why);
     }
 
     /** Bytes of an answer under way to a caller that does not read. */
@@ -47,7 +47,7 @@
     private final Candidate mCandidate;
     private final Submit mSubmit;
     private final Listener mListener;
-    private final AnswerAssembler mAssembler = new AnswerAssembler();
+    private final ResponseAssembler mAssembler = new ResponseAssembler();
     private Link mLink;
     private long mStream;
     private long mIncarnation;
@@ -106,7 +106,7 @@
 
     private void onUnreachable(Throwable cause) {
         lose(
-                Refused.notRun(RefusalReason.UNREACHABLE, 1_000)
+                AttemptFailure.notRun(RefusalReason.UNREACHABLE, 1_000)
                         .withDetail(String.valueOf(cause.getMessage())));
     }
 
@@ -144,7 +144,7 @@
         mCandidate.target().onEnded();
     }
 
-    private void lose(Refused why) {
+    private void lose(AttemptFailure why) {
         if (mOver) {
             return;
         }
@@ -174,20 +174,20 @@
 
     void onEnd(End end) {
         if (!end.getError().isEmpty()) {
-            lose(Refused.failed(RefusalReason.BROKEN_ANSWER, end.getError()));
+            lose(AttemptFailure.failed(RefusalReason.BROKEN_ANSWER, end.getError()));
             return;
         }
         mEnd = end;
         mAssembler.onEnd(end.getFrameCount(), end.getChecksum());
         check();
-        if (!mOver && mAssembler.state() == AnswerAssembler.State.OPEN) {
+        if (!mOver && mAssembler.state() == ResponseAssembler.State.OPEN) {
             resume();
         }
     }
 
     private void check() {
         switch (mAssembler.state()) {
-            case WHOLE -> {
+            case COMPLETE -> {
                 finish();
                 mListener.onWhole(this, mEnd);
             }
@@ -195,7 +195,8 @@
                 cancel();
                 mListener.onLost(
                         this,
-                        Refused.failed(RefusalReason.BROKEN_ANSWER, "frames do not fit the end"));
+                        AttemptFailure.failed(
+                                RefusalReason.BROKEN_ANSWER, "frames do not fit the end"));
             }
             default -> {
                 // More frames are to come.
@@ -204,8 +205,8 @@
     }
 
     void onRefusal(Refusal r) {
-        Refused why =
-                new Refused(
+        AttemptFailure why =
+                new AttemptFailure(
                         OutcomeKind.valueOf(r.getKind()),
                         RefusalReason.valueOf(r.getReason()),
                         r.getRetryAfterMillis(),
@@ -225,7 +226,7 @@
     private void resume() {
         mAttempts.unregister(mStream);
         if (mResumes++ >= MAX_RESUMES) {
-            lose(Refused.mayHaveRun(RefusalReason.CUT));
+            lose(AttemptFailure.mayHaveRun(RefusalReason.CUT));
             return;
         }
         long delay = mResumes == 1 ? 1 : RESUME_DELAY_MILLIS << mResumes;
@@ -244,7 +245,7 @@
         if (mHeadSeen || mSubmit.getUnrepeatable()) {
             resume();
         } else {
-            lose(Refused.mayHaveRun(RefusalReason.CUT));
+            lose(AttemptFailure.mayHaveRun(RefusalReason.CUT));
         }
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
@@ -1,8 +1,8 @@
 package org.forkseam.daemon.router;
 
 import org.forkseam.core.claim.ClaimRow;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.daemon.sidecar.ClaimStore;
 
 import java.util.Optional;
@@ -20,16 +20,16 @@
     }
 
     /** Returns the refusal as it stands, or that the request may have run. */
-    CompletableFuture<Refused> confirmNotRun(CallerRequest request, Refused why) {
+    CompletableFuture<AttemptFailure> confirmNotRun(CallerRequest request, AttemptFailure why) {
         return mStore.read(ClaimStore.key(request.team(), request.id()))
                 .handle((seen, e) -> e == null ? judge(seen, why) : why);
     }
 
-    private static Refused judge(Optional<ClaimStore.Seen> seen, Refused why) {
+    private static AttemptFailure judge(Optional<ClaimStore.Seen> seen, AttemptFailure why) {
         boolean ran = seen.isPresent() && seen.get().row().state() != ClaimRow.State.ABANDONED;
         boolean otherRequest = why.reason() == RefusalReason.ID_REUSED;
         return ran && !otherRequest
-                ? Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE)
+                ? AttemptFailure.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE)
                         .withDetail(seen.get().row().owner())
                 : why;
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/QuotaGate.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/QuotaGate.java
@@ -1,6 +1,6 @@
 package org.forkseam.daemon.router;
 
-import org.forkseam.core.admit.QuotaShares;
+import org.forkseam.core.admit.QuotaAllocator;
 import org.forkseam.core.admit.TokenBucket;
 import org.forkseam.core.cfg.TeamSpec;
 import org.forkseam.core.route.TargetView;
@@ -53,7 +53,8 @@
         t.mArrivals++;
         int routers = Math.max(1, mFleet.view().routerCount());
         double even = team.requestsPerSecond() / routers;
-        t.mBucket.set(t.rate(even, nowMillis), Math.max(1, team.burst() / routers), nowMillis);
+        t.mBucket.reconfigure(
+                t.rate(even, nowMillis), Math.max(1, team.burst() / routers), nowMillis);
         return t.mBucket.tryTake(nowMillis)
                 ? OptionalLong.empty()
                 : OptionalLong.of(t.mBucket.waitMillis(nowMillis));
@@ -72,7 +73,7 @@
             t.mArrivals = 0;
             t.mReportedAt = nowMillis;
             double even = mFleet.config().team(e.getKey()).requestsPerSecond() / routers;
-            if (t.mDemand > even * QuotaShares.SILENT_SHARE * HOT) {
+            if (t.mDemand > even * QuotaAllocator.UNREPORTED_SHARE * HOT) {
                 report(e.getKey(), t, nowMillis);
             } else {
                 t.mAskingSince = Long.MAX_VALUE;
@@ -98,7 +99,7 @@
     private Optional<TargetView> home(String team, long nowMillis) {
         long key = Hashes.of(team);
         return mFleet.view().targets().stream()
-                .filter(t -> !t.isLeaving(nowMillis) && t.health().share(nowMillis) > 0)
+                .filter(t -> !t.isLeaving(nowMillis) && t.health().trafficShare(nowMillis) > 0)
                 .max(Comparator.comparingLong(t -> Hashes.mix(key, Hashes.of(t.name()))));
     }
 
@@ -135,13 +136,14 @@
         }
 
         double rate(double even, long nowMillis) {
-            if (nowMillis - mGrantedAt <= QuotaShares.GRANT_MILLIS) {
+            if (nowMillis - mGrantedAt <= QuotaAllocator.GRANT_MILLIS) {
                 return mGranted;
             }
             long since = Math.max(mAskingSince, mGrantedAt);
             boolean unanswered =
-                    mAskingSince != Long.MAX_VALUE && nowMillis - since > QuotaShares.GRANT_MILLIS;
-            return unanswered ? even : even * QuotaShares.SILENT_SHARE;
+                    mAskingSince != Long.MAX_VALUE
+                            && nowMillis - since > QuotaAllocator.GRANT_MILLIS;
+            return unanswered ? even : even * QuotaAllocator.UNREPORTED_SHARE;
         }
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
@@ -9,9 +9,9 @@
 import io.activej.promise.SettablePromise;
 
 import org.forkseam.core.cfg.IntentSpec;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.OutcomeKind;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.core.outcome.RetryAfter;
 import org.forkseam.core.outcome.RetryPolicy;
 import org.forkseam.core.route.Candidate;
@@ -64,7 +64,7 @@
     private boolean mShown;
     private boolean mOver;
     private boolean mLastRound;
-    private Refused mLastRefused = Refused.notRun(RefusalReason.NO_TARGET, 1_000);
+    private AttemptFailure mLastRefused = AttemptFailure.notRun(RefusalReason.NO_TARGET, 1_000);
 
     RequestFlow(RouterContext context, CallerRequest request, TcpSocket socket) {
         mSocket = socket;
@@ -93,7 +93,7 @@
         Optional<IntentSpec> intent = mContext.fleet().config().intentFor(labels);
         Optional<PoolView> pool = intent.flatMap(i -> mContext.fleet().view().pool(i.pool()));
         if (pool.isEmpty()) {
-            finish(Refused.notRun(RefusalReason.NO_INTENT, 0).withDetail(labels.toString()));
+            finish(AttemptFailure.notRun(RefusalReason.NO_INTENT, 0).withDetail(labels.toString()));
             return false;
         }
         mIntent = intent.get();
@@ -104,8 +104,8 @@
                         + mRequest.deadlineMillis().orElse(mPool.spec().deadline().toMillis());
         var wait = mContext.quotas().refuse(team, mArrivedMillis);
         if (wait.isPresent()) {
-            long after = RetryAfter.spread(wait.getAsLong(), mContext.random());
-            finish(Refused.notRun(RefusalReason.OVER_QUOTA, after));
+            long after = RetryAfter.withJitter(wait.getAsLong(), mContext.random());
+            finish(AttemptFailure.notRun(RefusalReason.OVER_QUOTA, after));
             return false;
         }
         rank();
@@ -165,17 +165,17 @@
         finish(mLastRefused);
     }
 
-    private static Refused late(Refused last) {
+    private static AttemptFailure late(AttemptFailure last) {
         return last.kind() == OutcomeKind.NOT_RUN
-                ? Refused.notRun(RefusalReason.DEADLINE, 0)
-                : Refused.mayHaveRun(RefusalReason.DEADLINE);
+                ? AttemptFailure.notRun(RefusalReason.DEADLINE, 0)
+                : AttemptFailure.mayHaveRun(RefusalReason.DEADLINE);
     }
 
     /** Every target refused by what it knew of the others; the least loaded is told of them all. */
     private void sendToLeastLoaded() {
         TargetView best = null;
         for (TargetView t : mPool.targets()) {
-            boolean usable = !t.isLeaving(now()) && t.health().share(now()) > 0;
+            boolean usable = !t.isLeaving(now()) && t.health().trafficShare(now()) > 0;
             if (usable && (best == null || relative(t) < relative(best))) {
                 best = t;
             }
@@ -242,7 +242,7 @@
     private void onLate() {
         if (!mOver && mHead == null && mAttempt != null) {
             mAttempt.cancel();
-            finish(Refused.mayHaveRun(RefusalReason.DEADLINE));
+            finish(AttemptFailure.mayHaveRun(RefusalReason.DEADLINE));
         }
     }
 
@@ -350,7 +350,7 @@
     }
 
     @Override
-    public void onLost(Attempt attempt, Refused why) {
+    public void onLost(Attempt attempt, AttemptFailure why) {
         if (mOver) {
             return;
         }
@@ -385,14 +385,16 @@
     }
 
     /** Only the target that holds the claim can tell what became of the request. */
-    private void askOwner(Refused why) {
+    private void askOwner(AttemptFailure why) {
         Optional<TargetView> owner = mContext.fleet().view().target(why.owner());
         if (owner.isEmpty() || mAttempts >= MAX_ATTEMPTS) {
-            finish(Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE).withDetail(why.owner()));
+            finish(
+                    AttemptFailure.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE)
+                            .withDetail(why.owner()));
             return;
         }
         // If the owner cannot be asked either, the request may have run there.
-        mLastRefused = Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE);
+        mLastRefused = AttemptFailure.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE);
         mOrder = SpillOrder.of(List.of());
         Candidate c = new Candidate(owner.get(), 0, 0, 0, 0, Candidate.Why.UNSCORED);
         send(c, List.of());
@@ -401,7 +403,7 @@
     // ---------------------------------------------------------------- to the caller
 
     /** Gives the final word at once. */
-    private void finish(Refused why) {
+    private void finish(AttemptFailure why) {
         if (mOver) {
             return;
         }
@@ -415,7 +417,7 @@
         }
     }
 
-    private void answer(Refused why) {
+    private void answer(AttemptFailure why) {
         note("final " + why.kind() + " " + why.reason(), "");
         mContext.counters().onOutcome(why.kind());
         if (!mShown) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Responses.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Responses.java
@@ -8,8 +8,8 @@
 import io.activej.http.HttpResponse;
 
 import org.forkseam.core.member.FleetView;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.OutcomeKind;
-import org.forkseam.core.outcome.Refused;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
@@ -50,7 +50,7 @@
     }
 
     /** Writes the final word on a request that got no answer. */
-    static HttpResponse.Builder refused(Refused r) {
+    static HttpResponse.Builder refused(AttemptFailure r) {
         int status = r.reason().status();
         if (r.kind() != OutcomeKind.NOT_RUN && status == SERVICE_UNAVAILABLE) {
             status = BAD_GATEWAY; // 503 would say that nothing was done
@@ -69,17 +69,17 @@
         return kind.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    static String code(Refused r) {
+    static String code(AttemptFailure r) {
         return r.reason().name().toLowerCase(Locale.ROOT);
     }
 
-    static String message(Refused r) {
+    static String message(AttemptFailure r) {
         String text = r.reason().text() + " (outcome: " + outcome(r.kind()) + ")";
         return r.detail().isEmpty() ? text : text + ": " + r.detail();
     }
 
     /** Writes an event that tells a streaming caller that its answer broke off. */
-    static byte[] errorEvent(Refused r) {
+    static byte[] errorEvent(AttemptFailure r) {
         String json = errorJson(code(r), message(r));
         return ("event: error\ndata: " + json + "\n\n").getBytes(StandardCharsets.UTF_8);
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
@@ -11,8 +11,8 @@
 import io.micrometer.core.instrument.MeterRegistry;
 
 import org.forkseam.core.kernel.Service;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.core.route.Baselines;
 import org.forkseam.core.route.Placement;
 import org.forkseam.core.route.PrefixDirectory;
@@ -300,7 +300,7 @@
     /** Answers what the HTTP library found malformed; no stack trace reaches a caller. */
     private Promise<HttpResponse> formatError(Exception e) {
         mCounters.onMalformed();
-        Refused r = Refused.failed(RefusalReason.BROKEN_ANSWER, "internal error");
+        AttemptFailure r = AttemptFailure.failed(RefusalReason.BROKEN_ANSWER, "internal error");
         if (e instanceof IOException) {
             return Responses.refused(r).toPromise(); // the caller has gone; nobody reads this
         }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/Fleet.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/Fleet.java
@@ -139,7 +139,7 @@
         m.put("load", t.estimatedLoad(now));
         m.put("in_flight", t.inFlight());
         m.put("leaving", t.isLeaving(now));
-        m.put("health", t.health().share(now));
+        m.put("health", t.health().trafficShare(now));
         t.digest().ifPresent(d -> m.put("digest_age_ms", now - d.atMillis()));
         return m;
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseKeeper.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseKeeper.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 
+import org.forkseam.core.lease.LeaseElector;
 import org.forkseam.core.lease.LeaseRow;
-import org.forkseam.core.lease.LeaseWatch;
 import org.forkseam.core.member.HostEntry;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.Hashes;
@@ -37,7 +37,7 @@
     private final String mName;
     private final TableService mTable;
     private final Clock mClock;
-    private final LeaseWatch mWatch;
+    private final LeaseElector mWatch;
     private long mNextAtMillis;
     private boolean mBusy;
 
@@ -45,7 +45,7 @@
         mName = name;
         mTable = table;
         mClock = clock;
-        mWatch = LeaseWatch.of(host, TTL_MILLIS);
+        mWatch = LeaseElector.of(host, TTL_MILLIS);
     }
 
     /** Creates a keeper of one lease for one daemon. */
@@ -86,14 +86,14 @@
             return;
         }
         long revision = row.map(Row::revision).orElse(0L);
-        LeaseWatch.Step step =
+        LeaseElector.Step step =
                 mWatch.onRead(row.map(LeaseKeeper::read), revision, mClock.nowMillis());
-        if (step == LeaseWatch.Step.WAIT) {
+        if (step == LeaseElector.Step.WAIT) {
             mBusy = false;
             return;
         }
         Write w =
-                step == LeaseWatch.Step.INSERT
+                step == LeaseElector.Step.INSERT
                         ? Write.insert(key(mName), text(mWatch.next()))
                         : Write.replace(key(mName), text(mWatch.next()), revision);
         mTable.transact(List.of(w)).thenAccept(this::onWritten);
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Claims.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Claims.java
@@ -1,7 +1,7 @@
 package org.forkseam.daemon.sidecar;
 
 import org.forkseam.core.claim.ClaimProtocol;
-import org.forkseam.core.claim.ClaimProtocol.OwnState;
+import org.forkseam.core.claim.ClaimProtocol.AttemptState;
 import org.forkseam.core.claim.ClaimProtocol.Step;
 import org.forkseam.core.claim.ClaimRow;
 import org.forkseam.core.util.BoundedMap;
@@ -25,7 +25,7 @@
     private final ClaimStore mStore;
     private final String mTarget;
     private final long mIncarnation;
-    private final Map<String, OwnState> mOwn = BoundedMap.byInsertion(NONCES_KEPT);
+    private final Map<String, AttemptState> mOwn = BoundedMap.byInsertion(NONCES_KEPT);
 
     /**
      * Is how a try to claim ended.
@@ -60,8 +60,11 @@
                         fingerprint,
                         "",
                         now());
-        mOwn.put(nonce, OwnState.ACTIVE);
-        Try t = new Try(key, ClaimProtocol.of(row, n -> mOwn.getOrDefault(n, OwnState.UNKNOWN)));
+        mOwn.put(nonce, AttemptState.ACTIVE);
+        Try t =
+                new Try(
+                        key,
+                        ClaimProtocol.of(row, n -> mOwn.getOrDefault(n, AttemptState.UNKNOWN)));
         t.perform(t.mProtocol.start());
         return t.mDone.whenComplete((r, e) -> settle(nonce, r));
     }
@@ -72,13 +75,13 @@
 
     private void settle(String nonce, Result result) {
         if (result == null || result.step() != Step.RUN) {
-            mOwn.put(nonce, OwnState.ABANDONED);
+            mOwn.put(nonce, AttemptState.ABANDONED);
         }
     }
 
     /** Notes that a claimed request was never handed over, and tells the table service. */
     public CompletableFuture<Void> abandon(String key, Result claimed, String fingerprint) {
-        mOwn.put(claimed.nonce(), OwnState.ABANDONED);
+        mOwn.put(claimed.nonce(), AttemptState.ABANDONED);
         ClaimRow row =
                 new ClaimRow(
                         ClaimRow.State.ABANDONED,
@@ -131,7 +134,7 @@
                                         step,
                                         mProtocol.row().nonce(),
                                         mRevision,
-                                        mProtocol.seen()));
+                                        mProtocol.observed()));
             }
         }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Exchange.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Exchange.java
@@ -1,9 +1,9 @@
 package org.forkseam.daemon.sidecar;
 
-import org.forkseam.core.answer.AnswerBuffer;
+import org.forkseam.core.answer.ResponseBuffer;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.OutcomeKind;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.wire.proto.Header;
 import org.forkseam.wire.proto.Submit;
 
@@ -47,7 +47,7 @@
     private final Submit mRequest;
     private final Owner mOwner;
     private final long mArrivedMillis;
-    private final AnswerBuffer mBuffer;
+    private final ResponseBuffer mBuffer;
     private final SseSplitter mEvents = new SseSplitter();
     private final List<Viewer> mViewers = new ArrayList<>();
     private final long mResumedFrom;
@@ -58,16 +58,16 @@
     private boolean mIsEventStream;
     private boolean mReplayed;
     private Usage mUsage = new Usage(0, 0);
-    private Optional<Refused> mRefused = Optional.empty();
+    private Optional<AttemptFailure> mRefused = Optional.empty();
     private Optional<Claims.Result> mClaim = Optional.empty();
     private long mStartedMillis;
 
     Exchange(Submit request, Owner owner, long nowMillis, int keptBytes) {
-        this(request, owner, nowMillis, AnswerBuffer.of(keptBytes), -1);
+        this(request, owner, nowMillis, ResponseBuffer.of(keptBytes), -1);
     }
 
     private Exchange(
-            Submit request, Owner owner, long nowMillis, AnswerBuffer buffer, long resumedFrom) {
+            Submit request, Owner owner, long nowMillis, ResponseBuffer buffer, long resumedFrom) {
         mRequest = request;
         mOwner = owner;
         mArrivedMillis = nowMillis;
@@ -78,7 +78,7 @@
     /** Creates an exchange that goes on with an engine's stream after a restart of the sidecar. */
     static Exchange resumed(
             Submit request, Owner owner, long nowMillis, int keptBytes, long fromSequence) {
-        AnswerBuffer b = AnswerBuffer.from(fromSequence, keptBytes);
+        ResponseBuffer b = ResponseBuffer.from(fromSequence, keptBytes);
         return new Exchange(request, owner, nowMillis, b, fromSequence);
     }
 
@@ -120,11 +120,11 @@
         return mUsage;
     }
 
-    AnswerBuffer buffer() {
+    ResponseBuffer buffer() {
         return mBuffer;
     }
 
-    Optional<Refused> refused() {
+    Optional<AttemptFailure> refused() {
         return mRefused;
     }
 
@@ -199,7 +199,7 @@
     }
 
     /** Ends the request without an answer. */
-    void refuse(Refused refused) {
+    void refuse(AttemptFailure refused) {
         if (isOver()) {
             return;
         }
@@ -253,7 +253,7 @@
     public void onHead(int status, List<Header> headers) {
         if (mRequest.getChat() && status >= SERVER_ERROR) {
             // An engine that fails at once has answered nothing: another may.
-            refuse(Refused.failed(RefusalReason.BROKEN_ANSWER, "engine's status " + status));
+            refuse(AttemptFailure.failed(RefusalReason.BROKEN_ANSWER, "engine's status " + status));
             return;
         }
         mStatus = status;
@@ -315,7 +315,8 @@
         OutcomeKind kind = began ? OutcomeKind.FAILED : OutcomeKind.MAY_HAVE_RUN;
         mRefused =
                 Optional.of(
-                        new Refused(kind, RefusalReason.BROKEN_ANSWER, 0, "", cause.toString()));
+                        new AttemptFailure(
+                                kind, RefusalReason.BROKEN_ANSWER, 0, "", cause.toString()));
         end(State.OVER);
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/QuotaHome.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/QuotaHome.java
@@ -1,6 +1,6 @@
 package org.forkseam.daemon.sidecar;
 
-import org.forkseam.core.admit.QuotaShares;
+import org.forkseam.core.admit.QuotaAllocator;
 import org.forkseam.core.util.Clock;
 import org.forkseam.daemon.net.PacketSink;
 import org.forkseam.daemon.share.Fleet;
@@ -18,7 +18,7 @@
     private final Fleet mFleet;
     private final FleetSync mSync;
     private final Clock mClock;
-    private final Map<String, QuotaShares> mTeams = new HashMap<>();
+    private final Map<String, QuotaAllocator> mTeams = new HashMap<>();
 
     QuotaHome(Fleet fleet, FleetSync sync, Clock clock) {
         mFleet = fleet;
@@ -34,7 +34,7 @@
         QuotaReport r = p.getQuotaReport();
         double quota = mFleet.config().team(r.getTeam()).requestsPerSecond();
         double rate =
-                mTeams.computeIfAbsent(r.getTeam(), k -> new QuotaShares())
+                mTeams.computeIfAbsent(r.getTeam(), k -> new QuotaAllocator())
                         .report(
                                 link.peer().getHost(),
                                 r.getDemand(),
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
@@ -5,8 +5,8 @@
 import org.forkseam.core.cfg.PoolSpec;
 import org.forkseam.core.kernel.Service;
 import org.forkseam.core.label.Selector;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.core.route.PoolView;
 import org.forkseam.core.route.TargetView;
 import org.forkseam.core.util.Clock;
@@ -248,11 +248,11 @@
     private void giveUp(Exchange e) {
         if (e.state() == Exchange.State.WAITING) {
             mGate.leaveQueue(e);
-            e.refuse(Refused.notRun(RefusalReason.CANCELLED, 0));
+            e.refuse(AttemptFailure.notRun(RefusalReason.CANCELLED, 0));
             return;
         }
         mTarget.cancel(e.request().getAttemptKey());
-        e.refuse(Refused.mayHaveRun(RefusalReason.CANCELLED));
+        e.refuse(AttemptFailure.mayHaveRun(RefusalReason.CANCELLED));
     }
 
     private void sendNotice(Link link) {
@@ -407,8 +407,8 @@
         }
         viewer.refuse(
                 sameLife
-                        ? Refused.notRun(RefusalReason.UNKNOWN_ATTEMPT, 0)
-                        : Refused.mayHaveRun(RefusalReason.UNKNOWN_ATTEMPT));
+                        ? AttemptFailure.notRun(RefusalReason.UNKNOWN_ATTEMPT, 0)
+                        : AttemptFailure.mayHaveRun(RefusalReason.UNKNOWN_ATTEMPT));
     }
 
     private void resumeFromEngine(Resume r, Viewer viewer) {
@@ -441,7 +441,7 @@
     }
 
     @Override
-    public void onRefused(Exchange e, Refused why) {
+    public void onRefused(Exchange e, AttemptFailure why) {
         mCounters.onRefused(why.reason());
         mDecisions.note(e.request().getRequestId(), "refused " + why.reason(), mConfig.target());
         e.refuse(why);
@@ -477,7 +477,8 @@
 
     @Override
     public void onNotSent(Exchange e, Exception cause) {
-        Refused r = Refused.notRun(RefusalReason.TARGET_DOWN, 1000).withDetail(cause.toString());
+        AttemptFailure r =
+                AttemptFailure.notRun(RefusalReason.TARGET_DOWN, 1000).withDetail(cause.toString());
         mCounters.onRefused(r.reason());
         mUnrepeatable.giveBack(e, r);
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/TargetGate.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/TargetGate.java
@@ -6,8 +6,8 @@
 import org.forkseam.core.cfg.TeamSpec;
 import org.forkseam.core.load.LoadDigest;
 import org.forkseam.core.load.PoolLoad;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.core.outcome.RetryAfter;
 import org.forkseam.core.util.Clock;
 
@@ -59,7 +59,7 @@
         void onTurn(T item);
 
         /** Turns a waiting request away. */
-        void onRefused(T item, Refused why);
+        void onRefused(T item, AttemptFailure why);
     }
 
     private TargetGate(
@@ -149,7 +149,7 @@
      * @param poolCapacity capacity of the whole pool
      * @param memberCount targets of the pool
      */
-    public Optional<Refused> enter(
+    public Optional<AttemptFailure> enter(
             T item,
             PoolSpec pool,
             long poolCapacity,
@@ -159,18 +159,19 @@
             long deadlineMillis) {
         setQueueLimit(pool.queueLimit());
         long now = mClock.nowMillis();
-        Admission.Facts facts = facts(pool, poolCapacity, memberCount);
+        Admission.Snapshot facts = facts(pool, poolCapacity, memberCount);
         int ahead = mQueue.aheadOf(team.name(), team.weight());
-        Optional<RefusalReason> no = Admission.refuse(facts, ahead, deadlineMillis - now);
+        Optional<RefusalReason> no = Admission.refusalReason(facts, ahead, deadlineMillis - now);
         if (no.isPresent()) {
-            return Optional.of(Refused.notRun(no.get(), retryAfter(facts, ahead)));
+            return Optional.of(AttemptFailure.notRun(no.get(), retryAfter(facts, ahead)));
         }
         if (mRunning < mCapacity) {
             start(item);
             return Optional.empty();
         }
         if (mQueueLimit == 0) {
-            return Optional.of(Refused.notRun(RefusalReason.QUEUE_FULL, retryAfter(facts, ahead)));
+            return Optional.of(
+                    AttemptFailure.notRun(RefusalReason.QUEUE_FULL, retryAfter(facts, ahead)));
         }
         Optional<FairQueue.Waiting<T>> out =
                 mQueue.add(item, team.name(), team.weight(), priority, deadlineMillis);
@@ -180,7 +181,7 @@
         }
         boolean itself = out.get().item() == item;
         RefusalReason why = itself ? RefusalReason.QUEUE_FULL : RefusalReason.FAIR_SHARE;
-        Refused refused = Refused.notRun(why, retryAfter(facts, mQueue.size()));
+        AttemptFailure refused = AttemptFailure.notRun(why, retryAfter(facts, mQueue.size()));
         if (itself) {
             return Optional.of(refused);
         }
@@ -188,11 +189,11 @@
         return Optional.empty();
     }
 
-    private Admission.Facts facts(PoolSpec pool, long poolCapacity, int memberCount) {
+    private Admission.Snapshot facts(PoolSpec pool, long poolCapacity, int memberCount) {
         Others told = mOthers.get(pool.name());
         boolean fresh = told != null && mClock.nowMillis() - told.atMillis() <= TOLD_MILLIS;
         long others = fresh ? Math.round(told.load()) : heardOf(pool.name(), memberCount);
-        return new Admission.Facts(
+        return new Admission.Snapshot(
                 mLeaving,
                 mRunning,
                 mQueue.size(),
@@ -211,8 +212,8 @@
         return heard.totalLoad() + Math.round(unheard * mean);
     }
 
-    private long retryAfter(Admission.Facts facts, int ahead) {
-        return RetryAfter.spread(Admission.expectedWaitMillis(facts, ahead), mRandom);
+    private long retryAfter(Admission.Snapshot facts, int ahead) {
+        return RetryAfter.withJitter(Admission.expectedWaitMillis(facts, ahead), mRandom);
     }
 
     private void setQueueLimit(int limit) {
@@ -254,8 +255,8 @@
             return;
         }
         touch();
-        long after = RetryAfter.spread((long) mServiceMillis, mRandom);
-        Refused why = Refused.notRun(RefusalReason.DEADLINE, after);
+        long after = RetryAfter.withJitter((long) mServiceMillis, mRandom);
+        AttemptFailure why = AttemptFailure.notRun(RefusalReason.DEADLINE, after);
         gone.forEach(w -> mStarter.onRefused(w.item(), why));
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/UnrepeatableRuns.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/UnrepeatableRuns.java
@@ -3,8 +3,8 @@
 import io.activej.eventloop.Eventloop;
 
 import org.forkseam.core.claim.ClaimRow;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.core.util.Clock;
 import org.forkseam.platform.TxnResult;
 
@@ -58,15 +58,16 @@
             case RUN -> run(e, r);
             case REPLAY -> replay(e, r);
             // The attempt that holds the claim broke off here, or this one would have joined it.
-            case JOIN -> endUnrun(e, Refused.mayHaveRun(RefusalReason.NOT_KEPT));
+            case JOIN -> endUnrun(e, AttemptFailure.mayHaveRun(RefusalReason.NOT_KEPT));
             case ASK_OWNER ->
                     endUnrun(
                             e,
-                            Refused.notRun(RefusalReason.CLAIMED_ELSEWHERE, 0)
+                            AttemptFailure.notRun(RefusalReason.CLAIMED_ELSEWHERE, 0)
                                     .withOwner(r.seen().map(ClaimRow::owner).orElse("")));
-            case ID_REUSED -> endUnrun(e, Refused.notRun(RefusalReason.ID_REUSED, 0));
-            case MAY_HAVE_RUN -> endUnrun(e, Refused.mayHaveRun(RefusalReason.UNKNOWN_ATTEMPT));
-            default -> endUnrun(e, Refused.notRun(RefusalReason.STORE_DOWN, 1_000));
+            case ID_REUSED -> endUnrun(e, AttemptFailure.notRun(RefusalReason.ID_REUSED, 0));
+            case MAY_HAVE_RUN ->
+                    endUnrun(e, AttemptFailure.mayHaveRun(RefusalReason.UNKNOWN_ATTEMPT));
+            default -> endUnrun(e, AttemptFailure.notRun(RefusalReason.STORE_DOWN, 1_000));
         }
     }
 
@@ -74,7 +75,7 @@
         boolean late = mClock.nowMillis() - e.arrivedMillis() >= e.request().getRemainingMillis();
         if (e.isOver() || late) {
             mClaims.abandon(key(e), r, e.request().getFingerprint());
-            endUnrun(e, Refused.notRun(RefusalReason.DEADLINE, 0));
+            endUnrun(e, AttemptFailure.notRun(RefusalReason.DEADLINE, 0));
             return;
         }
         e.setClaim(r);
@@ -84,7 +85,7 @@
     private void replay(Exchange e, Claims.Result r) {
         Optional<StoredAnswer> stored = r.seen().map(ClaimRow::answer).flatMap(StoredAnswer::read);
         if (stored.isEmpty()) {
-            endUnrun(e, Refused.mayHaveRun(RefusalReason.NOT_KEPT));
+            endUnrun(e, AttemptFailure.mayHaveRun(RefusalReason.NOT_KEPT));
             return;
         }
         mGate.release(0);
@@ -92,7 +93,7 @@
         e.replay(stored.get(), mClock.nowMillis());
     }
 
-    private void endUnrun(Exchange e, Refused refused) {
+    private void endUnrun(Exchange e, AttemptFailure refused) {
         mGate.release(0);
         e.refuse(refused);
     }
@@ -122,7 +123,7 @@
      * Gives back the claim of a request that its target never got, before the router hears of the
      * refusal, so that another target may run it.
      */
-    void giveBack(Exchange e, Refused refused) {
+    void giveBack(Exchange e, AttemptFailure refused) {
         if (e.claim().isEmpty()) {
             e.refuse(refused);
             return;
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Viewer.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Viewer.java
@@ -2,9 +2,9 @@
 
 import com.google.protobuf.ByteString;
 
-import org.forkseam.core.answer.AnswerBuffer;
+import org.forkseam.core.answer.ResponseBuffer;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.wire.Link;
 import org.forkseam.wire.proto.End;
 import org.forkseam.wire.proto.Frame;
@@ -77,7 +77,7 @@
 
     /** Returns bytes that wait for this viewer's credit. */
     int heldBytes(Exchange e) {
-        AnswerBuffer b = e.buffer();
+        ResponseBuffer b = e.buffer();
         int held = 0;
         for (long i = mNext; i < b.frameCount(); i++) {
             held += b.frame(i).length;
@@ -92,9 +92,11 @@
         if (!mHeadSent && e.status() != 0) {
             sendHead(e);
         }
-        AnswerBuffer b = e.buffer();
+        ResponseBuffer b = e.buffer();
         if (!b.has(mNext)) {
-            refuse(Refused.failed(RefusalReason.NOT_KEPT, "the answer's beginning is not kept"));
+            refuse(
+                    AttemptFailure.failed(
+                            RefusalReason.NOT_KEPT, "the answer's beginning is not kept"));
             return;
         }
         while (mNext < b.frameCount() && mSentBytes < mAllowedBytes) {
@@ -152,7 +154,7 @@
     }
 
     /** Ends the stream without an answer. */
-    void refuse(Refused r) {
+    void refuse(AttemptFailure r) {
         mDone = true;
         Refusal.Builder b =
                 Refusal.newBuilder()
--- a/forkseam-direct/src/main/java/org/forkseam/direct/admin/OperatorPages.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/admin/OperatorPages.java
@@ -133,10 +133,10 @@
         m.put("failure_domain", t.entry().domain());
         m.put("address", t.entry().address());
         m.put("load", t.inFlight() + t.othersInFlight(now));
-        m.put("load_age_ms", t.readingAgeMillis(now));
+        m.put("load_age_ms", t.loadReportAgeMillis(now));
         m.put("capacity", t.entry().slots());
-        m.put("health", t.health().share(now));
-        m.put("leaving", !t.stays());
+        m.put("health", t.health().trafficShare(now));
+        m.put("leaving", !t.isPoolMember());
         m.put("state", t.availability().state(now));
         m.put("evacuated", t.isEvacuated());
         m.put("labels", Map.of("pool", t.entry().pool(), "failure_domain", t.entry().domain()));
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Answers.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Answers.java
@@ -46,7 +46,7 @@
      * @param backInMillis when it is worth coming back, about
      */
     FullHttpResponse notRun(String requestId, String why, long backInMillis) {
-        return refusal(requestId, why, RetryAfter.spread(backInMillis, mRandom));
+        return refusal(requestId, why, RetryAfter.withJitter(backInMillis, mRandom));
     }
 
     /**
@@ -55,7 +55,7 @@
      * @param backInMillis before which it is in vain to come back
      */
     FullHttpResponse notRunBefore(String requestId, String why, long backInMillis) {
-        return refusal(requestId, why, RetryAfter.notBefore(backInMillis, mRandom));
+        return refusal(requestId, why, RetryAfter.withJitterAfter(backInMillis, mRandom));
     }
 
     private FullHttpResponse refusal(String requestId, String why, long retryAfterMillis) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
@@ -70,7 +70,7 @@
 
     /** Begins: a connection, then the request. */
     void start(long maxIdleMillis) {
-        mTarget.onSent(mStarted);
+        mTarget.onRequestSent(mStarted);
         mContext.targets().pool(mTarget).acquire(maxIdleMillis, this);
     }
 
@@ -80,7 +80,7 @@
             return;
         }
         mEnded = true;
-        mTarget.onEnded();
+        mTarget.onRequestEnded();
         if (isSent() && mHeardAt == 0 && mContext.now() - mSentAt > CUT_OFF_MILLIS) {
             mContext.targets().pool(mTarget).closeIdleSince(mSentAt);
         }
@@ -163,7 +163,7 @@
             giveUp(AttemptEnd.Kind.UNREACHABLE, "closed meanwhile");
             return;
         }
-        if (!mTarget.takesWork(now)) {
+        if (!mTarget.acceptsRequests(now)) {
             giveUp(AttemptEnd.Kind.WITHDRAWN, "the target takes no work any more");
             return;
         }
@@ -205,7 +205,7 @@
         mHeadAt = mContext.now();
         mHead = head;
         mContext.knowledge().words().onAnswer(mTarget, mDecoded);
-        mDecoded.load().ifPresent(l -> mTarget.onLoad(l, mContext.now()));
+        mDecoded.load().ifPresent(l -> mTarget.onLoadReported(l, mContext.now()));
         mDecoded.keepMillis().ifPresent(k -> mConnection.keepAtMost(k - keepMargin(k)));
     }
 
@@ -216,7 +216,7 @@
 
     private void heard() {
         mHeardAt = mContext.now();
-        mTarget.onHeard(mHeardAt);
+        mTarget.onDataReceived(mHeardAt);
     }
 
     @Override
@@ -314,7 +314,7 @@
             return;
         }
         mEnded = true;
-        mTarget.onEnded();
+        mTarget.onRequestEnded();
         mListener.onEnd(this, end);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptEnd.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptEnd.java
@@ -67,17 +67,17 @@
      */
     void teach(Target t, ErrorRate pool, long nowMillis) {
         if (kind == Kind.ANSWERED || kind == Kind.FAILED) {
-            t.errors().note(kind == Kind.FAILED);
-            pool.note(kind == Kind.FAILED);
+            t.errors().addResult(kind == Kind.FAILED);
+            pool.addResult(kind == Kind.FAILED);
         }
         switch (kind) {
             case ANSWERED -> t.health().onSuccess(nowMillis);
             case FAILED -> {
-                if (t.errors().standsOutOf(pool)) {
+                if (t.errors().isOutlierIn(pool)) {
                     t.health().onFailure(nowMillis);
                 }
             }
-            case REFUSED -> t.onRefused(nowMillis);
+            case REFUSED -> t.onRequestRefused(nowMillis);
             default -> {
                 if (kind.isFault()) {
                     t.health().onFailure(nowMillis);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashWatch.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashWatch.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.flow;
 
 import org.forkseam.core.member.Target;
-import org.forkseam.core.member.TargetStart;
+import org.forkseam.core.member.TargetIncarnation;
 import org.forkseam.direct.io.BreakKind;
 import org.forkseam.direct.io.ConnectionUser;
 import org.forkseam.direct.io.HttpConnection;
@@ -32,7 +32,7 @@
 
     private final Targets mTargets;
     private final Quarantine mQuarantine;
-    private final Map<TargetStart, Look> mLooks = new HashMap<>();
+    private final Map<TargetIncarnation, Look> mLooks = new HashMap<>();
     private long mCrashes;
 
     CrashWatch(Targets targets, Quarantine quarantine) {
@@ -58,11 +58,11 @@
             then.run();
             return;
         }
-        Look look = mLooks.get(t.start());
+        Look look = mLooks.get(t.incarnation());
         boolean isNew = look == null;
         if (isNew) {
             look = new Look(t);
-            mLooks.put(t.start(), look);
+            mLooks.put(t.incarnation(), look);
         }
         look.mContents.add(content);
         boolean decides = mQuarantine.isLastCrashAllowed(content);
@@ -114,7 +114,7 @@
         }
 
         private void finish() {
-            mLooks.remove(mTarget.start());
+            mLooks.remove(mTarget.incarnation());
             mThen.forEach(Runnable::run);
         }
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/FlowRecord.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/FlowRecord.java
@@ -56,7 +56,7 @@
                         + ", load "
                         + p.load()
                         + " ("
-                        + t.readingAgeMillis(now())
+                        + t.loadReportAgeMillis(now())
                         + " ms old), list "
                         + mContext.knowledge().targets().position(),
                 t.entry().id());
@@ -84,7 +84,7 @@
                 .with("detail", end.detail())
                 .with("sent", sent)
                 .with("age_ms", a.ageMillis(now()))
-                .with("target_share", a.target().health().share(now()))
+                .with("target_share", a.target().health().trafficShare(now()))
                 .log();
     }
 
@@ -116,7 +116,7 @@
                 .with("pick", c.pick().reason())
                 .with("rank", c.pick().rank())
                 .with("load", c.pick().load())
-                .with("load_age_ms", t.readingAgeMillis(now()))
+                .with("load_age_ms", t.loadReportAgeMillis(now()))
                 .with("list", mContext.knowledge().targets().position());
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RepeatBudgets.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RepeatBudgets.java
@@ -1,6 +1,6 @@
 package org.forkseam.direct.flow;
 
-import org.forkseam.core.outcome.WindowBudget;
+import org.forkseam.core.outcome.SlidingWindowRetryBudget;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -13,7 +13,7 @@
 
     private Bounds mBounds;
     private final IntSupplier mRouters;
-    private final Map<String, WindowBudget> mByPool = new HashMap<>();
+    private final Map<String, SlidingWindowRetryBudget> mByPool = new HashMap<>();
 
     /**
      * Holds what all routers together may repeat.
@@ -42,11 +42,11 @@
         mBounds = bounds;
     }
 
-    WindowBudget pool(String name) {
+    SlidingWindowRetryBudget pool(String name) {
         return mByPool.computeIfAbsent(
                 name,
                 n ->
-                        WindowBudget.of(
+                        SlidingWindowRetryBudget.of(
                                 () -> mBounds.share() * USED_SHARE,
                                 () -> mBounds.allowance() / mRouters.getAsInt(),
                                 mBounds.windowMillis()));
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
@@ -241,10 +241,7 @@
         boolean tooLate = mStreaming && mLastId == null;
         return !mAdmission.isOver(now)
                 && mTally.allowsAnother(
-                        end,
-                        route(),
-                        tooLate,
-                        () -> mContext.budgets().pool(pool()).tryRepeat(now));
+                        end, route(), tooLate, () -> mContext.budgets().pool(pool()).tryRetry(now));
     }
 
     // ---------------------------------------------------------------- streams
@@ -310,7 +307,7 @@
     }
 
     private void replaceStuck(long now) {
-        if (mContext.budgets().pool(pool()).left(now) < 1) {
+        if (mContext.budgets().pool(pool()).remaining(now) < 1) {
             return;
         }
         Attempt a = mAttempt;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestPlacement.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestPlacement.java
@@ -58,7 +58,7 @@
         String pool = admission.pool();
         ColdStart cold = coldStart(admission);
         List<Target> all = allowed(admission);
-        List<Target> admitted = mContext.coldGate().admitted(all, cold, now);
+        List<Target> admitted = mContext.coldGate().admissible(all, cold, now);
         int resting = all.size() - admitted.size() + resting(admitted, now);
         CandidateFilter.Candidates c = mContext.placing().filter().of(admitted, mTried, now);
         PickRequest request =
@@ -78,7 +78,7 @@
     private static int resting(List<Target> targets, long now) {
         int n = 0;
         for (Target t : targets) {
-            n += t.rests(now) ? 1 : 0;
+            n += t.isPaused(now) ? 1 : 0;
         }
         return n;
     }
@@ -89,7 +89,7 @@
 
     private void onPick(String pool, Pick p, ColdStart cold, long now) {
         mTried.add(p.target().entry().id());
-        mContext.coldGate().onSent(p.target(), cold, now);
+        mContext.coldGate().onRequestSent(p.target(), cold, now);
         mContext.knowledge().seats().onPick(pool, p.reason());
     }
 
@@ -102,7 +102,7 @@
         long now = mContext.now();
         List<Target> all = allowed(admission);
         long coldMillis = coldStart(admission).millis();
-        if (all.stream().anyMatch(t -> t.takesWork(now) && t.isCold(coldMillis, now))) {
+        if (all.stream().anyMatch(t -> t.acceptsRequests(now) && t.isCold(coldMillis, now))) {
             return "cold";
         }
         if (all.stream().anyMatch(Target::isEvacuated)) {
@@ -122,10 +122,10 @@
         long now = mContext.now();
         OptionalLong first = OptionalLong.empty();
         for (Target t : allowed(admission)) {
-            if (t.takesWork(now)) {
+            if (t.acceptsRequests(now)) {
                 return OptionalLong.empty();
             }
-            if (t.isEvacuated() || !t.stays()) {
+            if (t.isEvacuated() || !t.isPoolMember()) {
                 continue;
             }
             long in = t.availability().holdOffUntil() - now;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
@@ -1,8 +1,8 @@
 package org.forkseam.direct.flow;
 
-import org.forkseam.core.admit.ColdGate;
+import org.forkseam.core.admit.ColdStartLimiter;
 import org.forkseam.core.member.ErrorRate;
-import org.forkseam.core.outcome.ComeBack;
+import org.forkseam.core.outcome.RetryDelayEstimator;
 import org.forkseam.core.route.CandidateFilter;
 import org.forkseam.core.route.HomeRegions;
 import org.forkseam.core.route.TargetPicker;
@@ -23,7 +23,7 @@
     private final Knowledge mKnowledge;
     private final Targets mTargets;
     private Placing mPlacing;
-    private final ColdGate mColdGate;
+    private final ColdStartLimiter mColdGate;
     private final CrashWatch mCrashes;
     private final RepeatBudgets mBudgets;
     private final Answers mAnswers;
@@ -32,7 +32,7 @@
     private final Intake mIntake;
     private final LoopLag mLag;
     private final Timer mTimer;
-    private final Map<String, ComeBack> mComeBack = new HashMap<>();
+    private final Map<String, RetryDelayEstimator> mComeBack = new HashMap<>();
     private final Map<String, ErrorRate> mErrors = new HashMap<>();
     private final Set<RequestFlow> mFlows = new LinkedHashSet<>();
     private final Set<CallerConnection> mConnections = new LinkedHashSet<>();
@@ -70,7 +70,7 @@
             Knowledge knowledge,
             Targets targets,
             Placing placing,
-            ColdGate coldGate,
+            ColdStartLimiter coldGate,
             RepeatBudgets budgets,
             Answers answers,
             FlowCounters counters,
@@ -114,8 +114,8 @@
     }
 
     /** Returns what tells the refused callers of a pool when to come back. */
-    ComeBack comeBack(String pool) {
-        return mComeBack.computeIfAbsent(pool, p -> ComeBack.since(now()));
+    RetryDelayEstimator comeBack(String pool) {
+        return mComeBack.computeIfAbsent(pool, p -> RetryDelayEstimator.startingAt(now()));
     }
 
     /** Returns the share of a pool's requests that fail. */
@@ -153,7 +153,7 @@
         mPlacing = placing;
     }
 
-    ColdGate coldGate() {
+    ColdStartLimiter coldGate() {
         return mColdGate;
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
@@ -3,10 +3,10 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 import io.netty.channel.EventLoop;
 
-import org.forkseam.core.admit.ColdGate;
+import org.forkseam.core.admit.ColdStartLimiter;
 import org.forkseam.core.kernel.Service;
 import org.forkseam.core.member.Target;
-import org.forkseam.core.member.TargetStart;
+import org.forkseam.core.member.TargetIncarnation;
 import org.forkseam.core.route.CandidateFilter;
 import org.forkseam.core.route.HomePicker;
 import org.forkseam.core.route.HomeRegions;
@@ -89,7 +89,8 @@
                                         homePicker(mBounds),
                                         LeastLoadedPicker.of(p.random()),
                                         HomeRegions.of(settings.regions())),
-                                ColdGate.of(p.knowledge()::shareFor, mBounds.coldOvershoot()),
+                                ColdStartLimiter.of(
+                                        p.knowledge()::shareFor, mBounds.coldOvershoot()),
                                 new RepeatBudgets(repeats(mBounds), this::routers),
                                 new Answers(p.protocol(), p.random()),
                                 new FlowCounters(),
@@ -219,7 +220,7 @@
         m.put("callers", mContext.connections().size());
         m.put("target_connections", mContext.targets().open());
         m.put("target_connections_opened", mContext.targets().opened());
-        m.put("cold_passed_over", mContext.coldGate().passedOver());
+        m.put("cold_passed_over", mContext.coldGate().skipped());
         m.put("target_crashes", mContext.crashes().crashes());
         m.put("leaving", mContext.isLeaving());
         m.put("targets", mKnowledge.targets().all().stream().map(this::dump).toList());
@@ -235,9 +236,9 @@
         m.put("domain", t.entry().domain());
         m.put("in_flight", t.inFlight());
         m.put("others", t.othersInFlight(now));
-        m.put("share", t.health().share(now));
+        m.put("share", t.health().trafficShare(now));
         m.put("state", t.availability().state(now));
-        m.put("takes_work", t.takesWork(now));
+        m.put("takes_work", t.acceptsRequests(now));
         return m;
     }
 
@@ -258,9 +259,9 @@
     }
 
     private void tidy(long now) {
-        Map<TargetStart, Target> known = new HashMap<>();
+        Map<TargetIncarnation, Target> known = new HashMap<>();
         for (Target t : mKnowledge.targets().all()) {
-            known.put(t.start(), t);
+            known.put(t.incarnation(), t);
             mContext.targets().limit(t, mKnowledge.config().pool(t.entry().pool()), routers());
         }
         mContext.targets().tidy(known);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Targets.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Targets.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.flow;
 
 import org.forkseam.core.member.Target;
-import org.forkseam.core.member.TargetStart;
+import org.forkseam.core.member.TargetIncarnation;
 import org.forkseam.core.traffic.Pool;
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.io.ConnectionPool;
@@ -22,7 +22,7 @@
 
     private final Connector mConnector;
     private final Clock mClock;
-    private final Map<TargetStart, ConnectionPool> mPools = new HashMap<>();
+    private final Map<TargetIncarnation, ConnectionPool> mPools = new HashMap<>();
 
     Targets(Connector connector, Clock clock) {
         mConnector = connector;
@@ -32,7 +32,7 @@
     /** Returns the connections to a target. */
     ConnectionPool pool(Target t) {
         return mPools.computeIfAbsent(
-                t.start(), s -> ConnectionPool.of(mConnector, mClock, t.entry().address()));
+                t.incarnation(), s -> ConnectionPool.of(mConnector, mClock, t.entry().address()));
     }
 
     /** Sets each target's limit to this router's share of what the target takes. */
@@ -47,17 +47,17 @@
      * Closes connections that are idle for long, all idle ones to targets that leave, and those to
      * targets that are not known.
      */
-    void tidy(Map<TargetStart, Target> known) {
-        Iterator<Map.Entry<TargetStart, ConnectionPool>> i = mPools.entrySet().iterator();
+    void tidy(Map<TargetIncarnation, Target> known) {
+        Iterator<Map.Entry<TargetIncarnation, ConnectionPool>> i = mPools.entrySet().iterator();
         while (i.hasNext()) {
-            Map.Entry<TargetStart, ConnectionPool> e = i.next();
+            Map.Entry<TargetIncarnation, ConnectionPool> e = i.next();
             Target t = known.get(e.getKey());
             if (t == null) {
                 e.getValue().close();
                 i.remove();
                 continue;
             }
-            e.getValue().closeIdle(t.stays() ? MAX_IDLE_MILLIS : 0);
+            e.getValue().closeIdle(t.isPoolMember() ? MAX_IDLE_MILLIS : 0);
         }
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/CheckedSharedRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/CheckedSharedRows.java
@@ -50,7 +50,7 @@
     /** The store may come back while the call is under way: then what was there is not known. */
     private SharedRow written(SharedRow row, boolean mustExist, StorePosition expected) {
         CheckedFleetSource.check(mEra, row.position());
-        if (mustExist && !row.position().isOfEraOf(expected)) {
+        if (mustExist && !row.position().isSameEraAs(expected)) {
             Event.always("row_written_unseen")
                     .with("row", row.key())
                     .with("expected", expected)
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
@@ -3,7 +3,7 @@
 import org.forkseam.core.member.Evacuations;
 import org.forkseam.core.share.ReaderRole;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.core.traffic.ConfigChange;
 import org.forkseam.core.traffic.TrafficConfig;
 import org.forkseam.direct.log.Event;
@@ -46,7 +46,7 @@
     private TrafficConfig mConfig = TrafficConfig.none();
     private StorePosition mPosition = StorePosition.NONE;
     private long mConfirmedAt;
-    private StoreTime mReadAt = StoreTime.NEVER;
+    private StoreTimestamp mReadAt = StoreTimestamp.NEVER;
     private int mFailures;
     private boolean mReadingNow;
     private Future<?> mSettling;
@@ -105,13 +105,13 @@
 
     /** Plans to take the store's word alone again, a while after it has come back. */
     private void planSettling() {
-        if (mEvacuations.isOpen(now()) && (mSettling == null || mSettling.isDone())) {
-            mSettling = later(mEvacuations.heldUntil() - now(), this::settle);
+        if (mEvacuations.isReconciling(now()) && (mSettling == null || mSettling.isDone())) {
+            mSettling = later(mEvacuations.retainUntil() - now(), this::settle);
         }
     }
 
     private void settle() {
-        if (mEvacuations.settle(now())) {
+        if (mEvacuations.reconcile(now())) {
             onEvacuationsChanged("store, settled");
         }
         planSettling(); // the store may have come back once more
@@ -159,7 +159,7 @@
 
     /** Revisions of another era count other changes: those before the one asked for are missing. */
     private void onWaited(Versioned<OperatorState> read, Throwable failure, StorePosition since) {
-        if (failure == null && !read.position().isOfEraOf(since)) {
+        if (failure == null && !read.position().isSameEraAs(since)) {
             watch().onAnswer();
             readAnew();
             return;
@@ -207,7 +207,7 @@
     private void takeChanges(Versioned<OperatorState> read) {
         OperatorState s = read.value();
         s.config().ifPresent(c -> offer(c, "store"));
-        if (mEvacuations.change(read.position(), s.evacuated(), s.returned(), now())) {
+        if (mEvacuations.applyChanges(read.position(), s.evacuated(), s.returned(), now())) {
             onEvacuationsChanged("store");
         }
     }
@@ -219,7 +219,7 @@
                         read.position(),
                         mConfig.version(),
                         mEvacuations.fingerprint(),
-                        List.copyOf(mEvacuations.told()));
+                        List.copyOf(mEvacuations.reported()));
         boolean newer = mEvacuations.position().isAfter(read.position()); // told by another
         if (newer || !link().tell(m)) {
             link().tell(m.withoutDomains());
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/CrashWarnings.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/CrashWarnings.java
@@ -1,6 +1,6 @@
 package org.forkseam.direct.know;
 
-import org.forkseam.core.crash.CrashFact;
+import org.forkseam.core.crash.CrashEvent;
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
@@ -40,19 +40,19 @@
     }
 
     /** Writes what is known of a request. */
-    void write(long content, List<CrashFact> crashes) {
+    void write(long content, List<CrashEvent> crashes) {
         OptionalLong now = mStoreMillis.get();
         if (now.isEmpty() || mWrittenAt.size() >= MAX_ROWS) {
             return;
         }
         StringBuilder value = new StringBuilder(Long.toString(now.getAsLong()));
-        crashes.forEach(f -> value.append(',').append(Integer.toHexString(f.crash())));
+        crashes.forEach(f -> value.append(',').append(Integer.toHexString(f.crashId())));
         String key = ROW.of(content);
         mRows.put(key, value.toString()).exceptionally(e -> RowFollower.logNotWritten(key, e));
     }
 
     /** Takes in a row that changed, and returns what it tells; nothing if it is another's. */
-    List<CrashFact> take(SharedRow row) {
+    List<CrashEvent> take(SharedRow row) {
         if (!ROW.isOf(row.key())) {
             return List.of();
         }
@@ -72,11 +72,11 @@
         return List.of();
     }
 
-    private List<CrashFact> read(SharedRow row, long content) {
+    private List<CrashEvent> read(SharedRow row, long content) {
         String[] fields = row.value().split(",");
-        List<CrashFact> crashes = new ArrayList<>();
+        List<CrashEvent> crashes = new ArrayList<>();
         for (int i = 1; i < fields.length; i++) {
-            CrashFact f = new CrashFact(content, Integer.parseUnsignedInt(fields[i], 16));
+            CrashEvent f = new CrashEvent(content, Integer.parseUnsignedInt(fields[i], 16));
             if (!f.isAnswered()) {
                 crashes.add(f);
             }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 
-import org.forkseam.core.admit.ColdShare;
+import org.forkseam.core.admit.ColdStartShare;
 import org.forkseam.core.kernel.Service;
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
@@ -247,7 +247,7 @@
     }
 
     /** Returns this router's share of what a target takes, or empty while routers are unknown. */
-    public Optional<ColdShare> shareFor(long targetHash) {
+    public Optional<ColdStartShare> shareFor(long targetHash) {
         return mRows.knowsRouters() ? Optional.of(mLink.shareFor(targetHash)) : Optional.empty();
     }
 
@@ -360,7 +360,7 @@
         @Override
         public void onEvacuated(Set<String> domains) {
             mEvacuationChanges++;
-            targets().setEvacuated(domains, mClock.nowMillis());
+            targets().setEvacuatedDomains(domains, mClock.nowMillis());
         }
     }
 
@@ -417,7 +417,7 @@
     private void onSourceBack() {
         long now = mClock.nowMillis();
         long listAge = now - mTargets.confirmedAt();
-        targets().onSourceBack(now, listAge);
+        targets().onSourceRecovered(now, listAge);
         Event.always("store_back")
                 .with("config", config().version())
                 .with("list_age_ms", listAge)
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Learned.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Learned.java
@@ -1,6 +1,6 @@
 package org.forkseam.direct.know;
 
-import org.forkseam.core.crash.CrashFact;
+import org.forkseam.core.crash.CrashEvent;
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.route.HolderMemory;
@@ -43,7 +43,7 @@
      * @param known whether all routers take that for granted
      */
     void onAnswered(long key, Target t, boolean known) {
-        boolean news = mHolders.onAnswered(key, t.start(), mClock.nowMillis());
+        boolean news = mHolders.onAnswered(key, t.incarnation(), mClock.nowMillis());
         if (news && !known) {
             mHolderNews.add(new HolderFact(key, t.shortHash()));
         }
@@ -53,7 +53,7 @@
     Optional<PeerMessage> news() {
         List<LoadReading> loads = LoadExchange.digest(mTargets.all(), mClock.nowMillis());
         List<HolderFact> holders = mHolderNews.digest();
-        List<CrashFact> crashes = mQuarantine.news();
+        List<CrashEvent> crashes = mQuarantine.news();
         List<Integer> leaving = mWords.news();
         return loads.isEmpty() && holders.isEmpty() && crashes.isEmpty() && leaving.isEmpty()
                 ? Optional.empty()
@@ -71,7 +71,7 @@
     }
 
     private void takeHolder(HolderFact f, Target t) {
-        if (mHolders.onAnswered(f.key(), t.start(), mClock.nowMillis())) {
+        if (mHolders.onAnswered(f.key(), t.incarnation(), mClock.nowMillis())) {
             mHolderNews.add(f);
         }
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerCodec.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerCodec.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 
-import org.forkseam.core.crash.CrashFact;
+import org.forkseam.core.crash.CrashEvent;
 import org.forkseam.core.member.TargetEntry;
 import org.forkseam.core.share.HolderFact;
 import org.forkseam.core.share.LoadReading;
@@ -196,8 +196,8 @@
             b.writeLong(f.key()).writeInt(f.target());
         }
         b.writeShort(l.crashes().size());
-        for (CrashFact f : l.crashes()) {
-            b.writeLong(f.content()).writeInt(f.crash());
+        for (CrashEvent f : l.crashes()) {
+            b.writeLong(f.content()).writeInt(f.crashId());
         }
         b.writeShort(l.leaving().size());
         l.leaving().forEach(b::writeInt);
@@ -213,9 +213,9 @@
         for (int i = b.readUnsignedShort(); i > 0; i--) {
             holders.add(new HolderFact(b.readLong(), b.readInt()));
         }
-        List<CrashFact> crashes = new ArrayList<>();
+        List<CrashEvent> crashes = new ArrayList<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
-            crashes.add(new CrashFact(b.readLong(), b.readInt()));
+            crashes.add(new CrashEvent(b.readLong(), b.readInt()));
         }
         List<Integer> leaving = new ArrayList<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerLink.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerLink.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 
-import org.forkseam.core.admit.ColdShare;
+import org.forkseam.core.admit.ColdStartShare;
 import org.forkseam.direct.io.Addresses;
 
 import java.net.InetSocketAddress;
@@ -84,8 +84,8 @@
     }
 
     /** Returns this router's share of what a target takes, among the routers known. */
-    ColdShare shareFor(long targetHash) {
-        return ColdShare.of(host(), mRouters.keySet(), targetHash);
+    ColdStartShare shareFor(long targetHash) {
+        return ColdStartShare.of(host(), mRouters.keySet(), targetHash);
     }
 
     /** Of two routers that read the same, the one with the lower address goes on. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerMessage.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerMessage.java
@@ -1,12 +1,12 @@
 package org.forkseam.direct.know;
 
-import org.forkseam.core.crash.CrashFact;
+import org.forkseam.core.crash.CrashEvent;
 import org.forkseam.core.member.Evacuations;
 import org.forkseam.core.share.HolderFact;
 import org.forkseam.core.share.LoadReading;
 import org.forkseam.core.share.TargetNews;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.core.traffic.ConfigChange;
 import org.forkseam.direct.spi.SharedRow;
 
@@ -45,8 +45,8 @@
             List<String> evacuated)
             implements PeerMessage {
         /** Returns when it was read. */
-        StoreTime readTime() {
-            return StoreTime.of(position.era(), readAt);
+        StoreTimestamp readTime() {
+            return StoreTimestamp.of(position.era(), readAt);
         }
 
         @Override
@@ -113,8 +113,8 @@
         }
 
         /** Returns when the rows were read. */
-        StoreTime readTime() {
-            return StoreTime.of(until.era(), readAt);
+        StoreTimestamp readTime() {
+            return StoreTimestamp.of(until.era(), readAt);
         }
 
         @Override
@@ -136,7 +136,7 @@
     record Learned(
             List<LoadReading> loads,
             List<HolderFact> holders,
-            List<CrashFact> crashes,
+            List<CrashEvent> crashes,
             List<Integer> leaving)
             implements PeerMessage {}
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerNotice.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerNotice.java
@@ -4,7 +4,7 @@
 import io.netty.buffer.Unpooled;
 
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 
 import java.util.Arrays;
 import java.util.Optional;
@@ -17,7 +17,7 @@
  * @param readAt when it was read
  * @param fingerprint a hash of what was read
  */
-record PeerNotice(Kind kind, StoreTime readAt, long fingerprint) implements PeerMessage {
+record PeerNotice(Kind kind, StoreTimestamp readAt, long fingerprint) implements PeerMessage {
     private static final int BYTES = 2 + Integer.BYTES + 2 * Long.BYTES;
 
     /** Says what was read. */
@@ -56,6 +56,11 @@
             return Optional.empty();
         }
         return Kind.of(b.readByte())
-                .map(k -> new PeerNotice(k, StoreTime.of(b.readInt(), b.readLong()), b.readLong()));
+                .map(
+                        k ->
+                                new PeerNotice(
+                                        k,
+                                        StoreTimestamp.of(b.readInt(), b.readLong()),
+                                        b.readLong()));
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.know;
 
-import org.forkseam.core.crash.CrashFact;
-import org.forkseam.core.crash.CrashSuspects;
+import org.forkseam.core.crash.CrashEvent;
+import org.forkseam.core.crash.PoisonRequestDetector;
 import org.forkseam.core.crash.QuarantineTerm;
 import org.forkseam.core.share.FactExchange;
 import org.forkseam.core.util.Hashes;
@@ -47,9 +47,9 @@
     private final RowFollower mFollower;
     private final QuarantineRows mRows;
     private final CrashWarnings mWarnings;
-    private final CrashSuspects mSuspects = CrashSuspects.create();
-    private final FactExchange<CrashFact> mNews =
-            FactExchange.of(CrashFact.MAX_FACTS, f -> mSuspects.crashes(f.content()));
+    private final PoisonRequestDetector mSuspects = PoisonRequestDetector.create();
+    private final FactExchange<CrashEvent> mNews =
+            FactExchange.of(CrashEvent.MAX_PER_MESSAGE, f -> mSuspects.crashCount(f.content()));
     private int mWriteFailures;
 
     /** Says what to do with a request. */
@@ -80,18 +80,18 @@
     public Verdict verdict(long content) {
         Optional<QuarantineTerm> term = mRows.term(content);
         if (term.isEmpty()) {
-            return mSuspects.isConvicted(content) ? Verdict.REFUSE : Verdict.SERVE;
+            return mSuspects.isPoison(content) ? Verdict.REFUSE : Verdict.SERVE;
         }
         OptionalLong now = mFollower.storeMillis();
-        boolean isOver = now.isPresent() && !term.get().isRunning(now.getAsLong());
+        boolean isOver = now.isPresent() && !term.get().isActive(now.getAsLong());
         return isOver ? Verdict.TRY : Verdict.REFUSE;
     }
 
     /** Returns after how many milliseconds a refused caller should come back. */
     public long backInMillis(long content) {
         long now = mFollower.storeMillis().orElse(0);
-        QuarantineTerm term = mRows.term(content).orElse(QuarantineTerm.first(now));
-        return Math.max(1, term.leftMillis(now));
+        QuarantineTerm term = mRows.term(content).orElse(QuarantineTerm.initial(now));
+        return Math.max(1, term.remainingMillis(now));
     }
 
     /** Asks to send a request once whose term is over; of all routers, one may at a time. */
@@ -101,7 +101,7 @@
         if (term.isEmpty() || now.isEmpty()) {
             return CompletableFuture.completedFuture(false); // changed meanwhile
         }
-        QuarantineTerm tried = term.get().tried(now.getAsLong(), link().host());
+        QuarantineTerm tried = term.get().withProbe(now.getAsLong(), link().host());
         return mRows.write(content, tried)
                 .exceptionally(e -> false) // logged where it failed
                 .whenComplete(
@@ -125,7 +125,7 @@
 
     /** Notes that a request's target ended, as this router saw. */
     public void onCrash(long content, int crash) {
-        CrashFact fact = new CrashFact(content, crash);
+        CrashEvent fact = new CrashEvent(content, crash);
         if (suspect(fact)) {
             mNews.add(fact);
             onSuspected(content, true);
@@ -150,7 +150,7 @@
         if (sawIt) {
             mNews.removeIf(f -> f.content() == content);
         }
-        mNews.add(CrashFact.answered(content));
+        mNews.add(CrashEvent.answered(content));
         if (wasRefused) {
             release(content, sawIt);
         }
@@ -158,7 +158,7 @@
 
     /** Returns whether a request is refused once one more target ends under it. */
     public boolean isLastCrashAllowed(long content) {
-        return mSuspects.crashes(content) == CrashSuspects.CRASHES_TO_CONVICT - 1;
+        return mSuspects.crashCount(content) == PoisonRequestDetector.CRASH_THRESHOLD - 1;
     }
 
     /** Returns the refused requests, and for how many milliseconds more. */
@@ -173,19 +173,19 @@
 
     /** Returns the number of requests under which a target has ended, without the refused ones. */
     int suspects() {
-        return mSuspects.size();
+        return mSuspects.suspectCount();
     }
 
     // ---------------------------------------------------------------- other routers
 
     /** Returns what another router should be told. */
-    List<CrashFact> news() {
+    List<CrashEvent> news() {
         return mNews.digest();
     }
 
     /** Takes in what another router has learned. */
-    void take(List<CrashFact> facts) {
-        for (CrashFact f : facts) {
+    void take(List<CrashEvent> facts) {
+        for (CrashEvent f : facts) {
             if (f.isAnswered()) {
                 acquit(f.content(), false);
             } else if (suspect(f)) {
@@ -196,22 +196,22 @@
     }
 
     /** Counts an end of a target, and returns whether it was news. */
-    private boolean suspect(CrashFact f) {
-        return mRows.term(f.content()).isEmpty() && mSuspects.take(f, now());
+    private boolean suspect(CrashEvent f) {
+        return mRows.term(f.content()).isEmpty() && mSuspects.onEvent(f, now());
     }
 
     private void onSuspected(long content, boolean sawIt) {
-        if (mSuspects.isConvicted(content)) {
+        if (mSuspects.isPoison(content)) {
             onConvicted(content, sawIt);
         } else if (sawIt && isLastCrashAllowed(content)) {
-            mWarnings.write(content, mSuspects.of(content));
+            mWarnings.write(content, mSuspects.events(content));
         }
     }
 
     private void onConvicted(long content, boolean sawIt) {
         Event.always("request_convicted")
                 .with("content", Hashes.text(content))
-                .with("crashes", mSuspects.crashes(content))
+                .with("crashes", mSuspects.crashCount(content))
                 .with("saw_last", sawIt)
                 .log();
         later(writePause(sawIt), () -> writeFirst(content));
@@ -241,7 +241,7 @@
     }
 
     /** All read the row that warns, so that it is not passed on. */
-    private void takeWarning(CrashFact f) {
+    private void takeWarning(CrashEvent f) {
         if (suspect(f)) {
             onSuspected(f.content(), false);
         }
@@ -254,14 +254,15 @@
                 .with("content", Hashes.text(c.content()))
                 .with("term_ms", c.term().map(QuarantineTerm::termMillis).orElse(0L))
                 .log();
-        if (mRows.term(c.content()).isPresent() && mSuspects.wasAnswered(c.content(), now())) {
+        if (mRows.term(c.content()).isPresent()
+                && mSuspects.wasAnsweredRecently(c.content(), now())) {
             release(c.content(), false); // the row and the answer have crossed
         }
     }
 
     /** Writes the first row of a convicted request, unless another router has. */
     private void writeFirst(long content) {
-        if (isStopped() || !mSuspects.isConvicted(content)) {
+        if (isStopped() || !mSuspects.isPoison(content)) {
             return;
         }
         OptionalLong now = mFollower.storeMillis();
@@ -269,7 +270,7 @@
             writeAgain(content);
             return;
         }
-        mRows.write(content, QuarantineTerm.first(now.getAsLong()))
+        mRows.write(content, QuarantineTerm.initial(now.getAsLong()))
                 .whenComplete(
                         (own, failure) -> {
                             if (failure == null) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
@@ -87,7 +87,7 @@
     /** Returns the refused requests, and for how many milliseconds more. */
     Map<String, Long> dump(long storeMillis) {
         Map<String, Long> m = new TreeMap<>();
-        mKnown.forEach((c, r) -> m.put(Hashes.text(c), r.term().leftMillis(storeMillis)));
+        mKnown.forEach((c, r) -> m.put(Hashes.text(c), r.term().remainingMillis(storeMillis)));
         return m;
     }
 
@@ -97,7 +97,7 @@
             return Optional.empty();
         }
         Optional<Long> content = ROW.content(row.key());
-        Optional<QuarantineTerm> term = QuarantineTerm.read(row.value());
+        Optional<QuarantineTerm> term = QuarantineTerm.parse(row.value());
         if (content.isEmpty() || row.exists() && term.isEmpty()) {
             Event.of("quarantine_row_malformed").with("row", row.key()).log();
             return Optional.empty();
@@ -132,10 +132,10 @@
         }
         makeRoom(content);
         StorePosition expected = mFollower.position(ROW.of(content));
-        return mRows.compareAndSet(ROW.of(content), term.write(), expected)
+        return mRows.compareAndSet(ROW.of(content), term.format(), expected)
                 .whenComplete((row, failure) -> mWriting.remove(content))
                 .whenComplete((row, failure) -> logFailure(content, failure))
-                .thenApply(row -> takeWritten(row, row.value().equals(term.write())));
+                .thenApply(row -> takeWritten(row, row.value().equals(term.format())));
     }
 
     /** Takes in the row after a write; another router's row is told by that one. */
@@ -163,7 +163,7 @@
     /** Removes the rows that nobody has asked for in a whole term. */
     void sweep(long storeMillis) {
         for (Map.Entry<Long, Row> e : List.copyOf(mKnown.entrySet())) {
-            if (e.getValue().term().isOver(storeMillis)) {
+            if (e.getValue().term().isExpired(storeMillis)) {
                 remove(e.getKey());
             }
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
@@ -2,7 +2,7 @@
 
 import org.forkseam.core.share.ReaderRole;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
 import org.forkseam.direct.spi.SharedRows;
@@ -86,7 +86,7 @@
     }
 
     /** With an era the store's clock may start anew. */
-    private void noteStoreClock(StoreTime readAt) {
+    private void noteStoreClock(StoreTimestamp readAt) {
         if (readAt.era() < mClockEra) {
             return;
         }
@@ -158,7 +158,7 @@
 
     private void takeAll(Versioned<List<SharedRow>> read, Telling telling) {
         noteStoreClock(read.readTime());
-        if (!mRead || !read.position().isOfLaterEraThan(mPosition)) {
+        if (!mRead || !read.position().isLaterEraThan(mPosition)) {
             mPosition = StorePosition.newer(mPosition, read.position());
             read.value().forEach(this::take);
             return;
@@ -189,7 +189,7 @@
             Versioned<List<SharedRow>> read, Throwable failure, StorePosition since) {
         boolean otherHistory =
                 failure == null
-                        ? !read.position().isOfEraOf(since)
+                        ? !read.position().isSameEraAs(since)
                         : SourceException.isHistoryGone(failure);
         if (otherHistory) {
             rereadUnlessTold(() -> mPosition, this::follow, this::readAll);
@@ -247,7 +247,7 @@
         if (!m.until().isAfter(mPosition) || !mRead) {
             return;
         }
-        boolean isReturn = m.until().isOfLaterEraThan(mPosition);
+        boolean isReturn = m.until().isLaterEraThan(mPosition);
         if (m.whole() && isReturn && m.since().equals(mPosition)) {
             turn(m.since(), m.until(), m.rows(), false);
         } else if (m.whole() && !isReturn && !m.since().isAfter(mPosition)) {
@@ -267,7 +267,7 @@
         if (isCurrent()) {
             StorePosition since = mPosition;
             mRows.awaitChanges(since, 0)
-                    .thenCompose(read -> wholeUnless(read.position().isOfEraOf(since), read))
+                    .thenCompose(read -> wholeUnless(read.position().isSameEraAs(since), read))
                     .exceptionallyCompose(e -> mRows.readAll()) // the history may be gone
                     .whenComplete(this::onCaughtUp);
         } else {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
@@ -5,7 +5,7 @@
 import org.forkseam.core.member.TargetEntry;
 import org.forkseam.core.share.TargetNews;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.FleetSource;
 import org.forkseam.direct.spi.Versioned;
@@ -47,7 +47,7 @@
     private long mPauseMillis;
     private TargetNews.Listed mList = TargetNews.Listed.of(List.of());
     private final Consumer<String> mOnRestart;
-    private StoreTime mReadAt = StoreTime.NEVER;
+    private StoreTimestamp mReadAt = StoreTimestamp.NEVER;
     private int mStepsLeft;
     private int mFailures;
     private long mConfirmedAt;
@@ -186,21 +186,21 @@
     }
 
     /** Returns whether a list was read too early to tell what has left of what is kept. */
-    private boolean isTooEarly(StoreTime readAt) {
+    private boolean isTooEarly(StoreTimestamp readAt) {
         long now = now();
-        return mTargets.keepsMissing()
-                && now >= mTargets.keepMissingUntil()
-                && inOwnTime(readAt) < mTargets.keepMissingUntil();
+        return mTargets.retainsUnlisted()
+                && now >= mTargets.retainUnlistedUntil()
+                && inOwnTime(readAt) < mTargets.retainUnlistedUntil();
     }
 
     /** Returns after how long what is kept or passed over is decided; at most never. */
     private long untilDecided(long now) {
         long until = Long.MAX_VALUE;
-        if (mTargets.keepsMissing()) {
-            until = mTargets.keepMissingUntil() - now;
+        if (mTargets.retainsUnlisted()) {
+            until = mTargets.retainUnlistedUntil() - now;
         }
-        if (mTargets.passesOver()) {
-            until = Math.min(until, mTargets.passOverUntil() - now);
+        if (mTargets.ignoresStaleRows()) {
+            until = Math.min(until, mTargets.ignoreStaleRowsUntil() - now);
         }
         return until;
     }
@@ -296,21 +296,21 @@
     }
 
     /** What is kept for a while after an outage is decided by a list that was read after it. */
-    private boolean isOutOfTurn(StoreTime readAt) {
+    private boolean isOutOfTurn(StoreTimestamp readAt) {
         return !readAt.isAfter(mReadAt) || !mListed || isTooEarly(readAt);
     }
 
     /** Takes in that the list known was the newest then, and decides by it what is due. */
-    private void confirm(StoreTime readAt) {
+    private void confirm(StoreTimestamp readAt) {
         mReadAt = readAt;
         mConfirmedAt = inOwnTime(readAt);
-        if (mTargets.keepsMissing() || mTargets.passesOver()) {
+        if (mTargets.retainsUnlisted() || mTargets.ignoresStaleRows()) {
             take(mList, mTargets.position(), mConfirmedAt);
         }
     }
 
     /** Translates a moment of the store's clock; one that has started anew tells no age. */
-    private long inOwnTime(StoreTime readAt) {
+    private long inOwnTime(StoreTimestamp readAt) {
         return Math.min(now(), readAt.millis() + mSourceOffset);
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetWords.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetWords.java
@@ -1,9 +1,9 @@
 package org.forkseam.direct.know;
 
+import org.forkseam.core.member.AvailabilitySignal;
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
-import org.forkseam.core.member.TargetStart;
-import org.forkseam.core.member.TargetWord;
+import org.forkseam.core.member.TargetIncarnation;
 import org.forkseam.core.share.FactExchange;
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.core.util.Clock;
@@ -37,7 +37,7 @@
     private final TargetDirectory mTargets;
     private final Clock mClock;
     private final FactExchange<Integer> mLeaving = FactExchange.of(MAX_LEAVING, f -> 0);
-    private final Map<TargetStart, Boolean> mLogged = BoundedMap.byInsertion(MAX_LOGGED);
+    private final Map<TargetIncarnation, Boolean> mLogged = BoundedMap.byInsertion(MAX_LOGGED);
     private final Map<Word, Long> mCounts = new EnumMap<>(Word.class);
 
     /** Names a word and the way by which it came. */
@@ -67,7 +67,7 @@
             note(t, Word.REPLACED_BY_ANSWER, t.onReplaced());
             return;
         }
-        TargetWord word = head.word();
+        AvailabilitySignal word = head.word();
         if (word.isNone()) {
             return;
         }
@@ -79,7 +79,7 @@
     }
 
     private void onLeaving(Target t) {
-        boolean news = t.onSaysLeaving();
+        boolean news = t.onLeavingAnnounced();
         note(t, Word.LEAVING_BY_ANSWER, news);
         if (news) {
             mLeaving.add(t.shortHash());
@@ -92,7 +92,7 @@
 
     private void onMalformed(Target t, String field) {
         count(Word.MALFORMED_BY_ANSWER);
-        if (mLogged.put(t.start(), true) == null) {
+        if (mLogged.put(t.incarnation(), true) == null) {
             Event.always("target_word_malformed")
                     .with("target", t.entry().id())
                     .with("field", field)
@@ -111,7 +111,7 @@
     void take(List<Integer> leaving) {
         for (int start : leaving) {
             count(Word.LEAVING_BY_ROUTER);
-            mTargets.onToldLeaving(start)
+            mTargets.onLeavingReported(start)
                     .ifPresent(
                             t -> {
                                 log(t, Word.LEAVING_BY_ROUTER);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/AnswerHead.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/AnswerHead.java
@@ -1,6 +1,6 @@
 package org.forkseam.direct.spi;
 
-import org.forkseam.core.member.TargetWord;
+import org.forkseam.core.member.AvailabilitySignal;
 
 import java.util.Optional;
 import java.util.OptionalInt;
@@ -23,4 +23,4 @@
         boolean wrongTarget,
         OptionalInt load,
         OptionalLong keepMillis,
-        TargetWord word) {}
+        AvailabilitySignal word) {}
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/Versioned.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/Versioned.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.spi;
 
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 
 /**
  * Holds something read from the source of knowledge, and where in its history.
@@ -14,7 +14,7 @@
  */
 public record Versioned<T>(StorePosition position, long readAt, T value) {
     /** Returns when it was read. */
-    public StoreTime readTime() {
-        return StoreTime.of(position.era(), readAt);
+    public StoreTimestamp readTime() {
+        return StoreTimestamp.of(position.era(), readAt);
     }
 }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerCodecTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerCodecTest.java
@@ -9,14 +9,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-import org.forkseam.core.crash.CrashFact;
+import org.forkseam.core.crash.CrashEvent;
 import org.forkseam.core.member.TargetEntry;
 import org.forkseam.core.share.HolderFact;
 import org.forkseam.core.share.LoadExchange;
 import org.forkseam.core.share.LoadReading;
 import org.forkseam.core.share.TargetNews;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.core.traffic.CallerLimits;
 import org.forkseam.core.traffic.ColdStart;
 import org.forkseam.core.traffic.ConfigChange;
@@ -60,7 +60,7 @@
             new PeerMessage.Learned(
                     List.of(new LoadReading(-5, 17, 999), new LoadReading(3, 0, 0)),
                     List.of(new HolderFact(Long.MAX_VALUE, -7)),
-                    List.of(new CrashFact(-9, 11), CrashFact.answered(12)),
+                    List.of(new CrashEvent(-9, 11), CrashEvent.answered(12)),
                     List.of(13, -14));
 
     private static final PeerMessage CONFIG =
@@ -103,7 +103,7 @@
 
     @Test
     void eachMessageIsReadAsItWasWritten() {
-        PeerMessage notice = new PeerNotice(PeerNotice.Kind.LIST, StoreTime.of(1, 3), 4);
+        PeerMessage notice = new PeerNotice(PeerNotice.Kind.LIST, StoreTimestamp.of(1, 3), 4);
         for (PeerMessage m : List.of(notice, OPERATORS, CONFIG, TARGETS, ROWS, LEARNED)) {
             assertThat(PeerCodec.read(written(m))).isEqualTo(Optional.of(m));
         }
@@ -152,9 +152,9 @@
         for (int i = 0; i < HolderFact.MAX_FACTS; i++) {
             facts.add(new HolderFact(i, i));
         }
-        List<CrashFact> crashes = new ArrayList<>();
-        for (int i = 0; i < CrashFact.MAX_FACTS; i++) {
-            crashes.add(new CrashFact(i, i));
+        List<CrashEvent> crashes = new ArrayList<>();
+        for (int i = 0; i < CrashEvent.MAX_PER_MESSAGE; i++) {
+            crashes.add(new CrashEvent(i, i));
         }
         List<Integer> leaving = new ArrayList<>();
         for (int i = 0; i < TargetWords.MAX_LEAVING; i++) {
@@ -169,7 +169,7 @@
     private static int bytes(
             List<LoadReading> loads,
             List<HolderFact> facts,
-            List<CrashFact> crashes,
+            List<CrashEvent> crashes,
             List<Integer> leaving) {
         return written(new PeerMessage.Learned(loads, facts, crashes, leaving)).readableBytes();
     }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerNoticeTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerNoticeTest.java
@@ -10,7 +10,7 @@
 import org.forkseam.core.member.Evacuations;
 import org.forkseam.core.member.TargetEntry;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.core.traffic.CallerLimits;
 import org.forkseam.core.traffic.Pool;
 import org.forkseam.core.traffic.PoolShare;
@@ -34,13 +34,13 @@
             @ForAll int era,
             @ForAll long readAt,
             @ForAll long fingerprint) {
-        PeerNotice n = new PeerNotice(kind, StoreTime.of(era, readAt), fingerprint);
+        PeerNotice n = new PeerNotice(kind, StoreTimestamp.of(era, readAt), fingerprint);
         assertThat(PeerNotice.read(n.write())).isEqualTo(Optional.of(n));
     }
 
     @Property(tries = 300)
     void anyOtherBytesAreNoNotice(@ForAll byte[] bytes) {
-        PeerNotice known = new PeerNotice(PeerNotice.Kind.LIST, StoreTime.of(0, 1), 2);
+        PeerNotice known = new PeerNotice(PeerNotice.Kind.LIST, StoreTimestamp.of(0, 1), 2);
         byte[] whole = new byte[known.write().readableBytes()];
         if (bytes.length != whole.length) {
             assertThat(PeerNotice.read(Unpooled.wrappedBuffer(bytes)).isPresent()).isFalse();
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
@@ -6,7 +6,7 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 
-import org.forkseam.core.crash.CrashFact;
+import org.forkseam.core.crash.CrashEvent;
 import org.forkseam.core.crash.QuarantineTerm;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.util.Hashes;
@@ -183,7 +183,7 @@
         }
 
         QuarantineTerm row() {
-            return QuarantineTerm.read(mRows.mAll.get(KEY).value()).get();
+            return QuarantineTerm.parse(mRows.mAll.get(KEY).value()).get();
         }
     }
 
@@ -261,7 +261,7 @@
         onLoop(
                 () ->
                         mRouter.mQuarantine.take(
-                                List.of(new CrashFact(CONTENT, 2), new CrashFact(CONTENT, 3))));
+                                List.of(new CrashEvent(CONTENT, 2), new CrashEvent(CONTENT, 3))));
         settle();
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
         assertThat(mRows.refused()).isEqualTo(1);
@@ -319,7 +319,7 @@
         mRouter.crash(CONTENT, 2);
         onLoop(() -> mRouter.mQuarantine.onAnswered(CONTENT));
         assertThat(call(() -> mRouter.mQuarantine.news()))
-                .containsExactly(CrashFact.answered(CONTENT));
+                .containsExactly(CrashEvent.answered(CONTENT));
         mRouter.crash(CONTENT, 3);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
     }
@@ -348,7 +348,7 @@
         mRouter.convict(CONTENT);
         other.convict(CONTENT);
         onLoop(() -> mRouter.mQuarantine.onAnswered(CONTENT));
-        List<CrashFact> news = call(() -> mRouter.mQuarantine.news());
+        List<CrashEvent> news = call(() -> mRouter.mQuarantine.news());
         onLoop(() -> other.mQuarantine.take(news));
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
         passTerm(other, TEN_MINUTES / 2);
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
@@ -112,7 +112,7 @@
 
     private void onBack() {
         long now = mClock.nowMillis();
-        mFollower.targets().onSourceBack(now, now - mFollower.confirmedAt());
+        mFollower.targets().onSourceRecovered(now, now - mFollower.confirmedAt());
         mBackAt = now;
     }
 
