--- a/forkseam-core/src/main/java/org/forkseam/core/member/TargetDirectory.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/member/TargetDirectory.java
@@ -89,27 +89,27 @@
      * @param position store position of the list
      */
     public List<TargetChange> apply(
-            StorePosition position, Collection<TargetEntry> entries, long now) {
+            StorePosition position, Collection<TargetEntry> entries, long nowMillis) {
         if (position.isBefore(mPosition)) {
             return List.of();
         }
         if (position.isRestoreSince(mPosition)) {
-            onSourceRestored(now);
+            onSourceRestored(nowMillis);
         }
         mPosition = position;
         mIgnoresStaleRows = false;
         List<TargetChange> changes = new ArrayList<>();
         Map<String, TargetEntry> listed = new HashMap<>();
         for (TargetEntry e : entries) {
-            if (isStaleRow(e.incarnation(), now)) {
+            if (isStaleRow(e.incarnation(), nowMillis)) {
                 mIgnoresStaleRows = true;
                 continue;
             }
             listed.put(e.id(), e);
-            applyEntry(e, now).ifPresent(changes::add);
+            applyEntry(e, nowMillis).ifPresent(changes::add);
         }
-        if (now >= mRetainUnlistedUntil) {
-            removeUnlisted(listed, changes, now);
+        if (nowMillis >= mRetainUnlistedUntil) {
+            removeUnlisted(listed, changes, nowMillis);
         }
         mRetainsUnlisted = mById.size() > listed.size();
         rebuildIndexes();
@@ -117,9 +117,9 @@
     }
 
     /** Retains missing targets and ignores stale rows until owners have rewritten their rows. */
-    private void onSourceRestored(long now) {
-        mRetainUnlistedUntil = now + REREGISTRATION_MILLIS;
-        mIgnoreStaleRowsUntil = now + STALE_ROW_MILLIS;
+    private void onSourceRestored(long nowMillis) {
+        mRetainUnlistedUntil = nowMillis + REREGISTRATION_MILLIS;
+        mIgnoreStaleRowsUntil = nowMillis + STALE_ROW_MILLIS;
         mById.values().forEach(Target::onStoreRestored);
         mUnlisted.values().forEach(unlisted -> unlisted.target().onStoreRestored());
     }
@@ -145,23 +145,23 @@
     }
 
     /** Returns whether a row belongs to an incarnation that ended before the restore. */
-    private boolean isStaleRow(TargetIncarnation start, long now) {
+    private boolean isStaleRow(TargetIncarnation start, long nowMillis) {
         Integer era = mEndedInEra.get(start);
-        return now < mIgnoreStaleRowsUntil && era != null && era < mPosition.era();
+        return nowMillis < mIgnoreStaleRowsUntil && era != null && era < mPosition.era();
     }
 
     private void recordEnded(Target t) {
         mEndedInEra.put(t.incarnation(), mPosition.era());
     }
 
-    private Optional<TargetChange> applyEntry(TargetEntry e, long now) {
+    private Optional<TargetChange> applyEntry(TargetEntry e, long nowMillis) {
         Target known = mById.get(e.id());
         if (known == null || !known.incarnation().equals(e.incarnation())) {
-            return Optional.of(add(e, known, now));
+            return Optional.of(add(e, known, nowMillis));
         }
         boolean startsLeaving = e.leaving() && !known.entry().leaving();
-        known.update(e, now);
-        updateEvacuated(known, now);
+        known.update(e, nowMillis);
+        updateEvacuated(known, nowMillis);
         return startsLeaving
                 ? Optional.of(new TargetChange(e, TargetChange.Kind.LEAVING))
                 : Optional.empty();
@@ -171,17 +171,17 @@
      * Adds a target that is new, restarted or listed again. A new incarnation starts without state;
      * a known incarnation whose row had expired keeps its state.
      */
-    private TargetChange add(TargetEntry e, Target previous, long now) {
+    private TargetChange add(TargetEntry e, Target previous, long nowMillis) {
         Unlisted unlisted = mUnlisted.remove(e.id());
         boolean known = unlisted != null && unlisted.target().incarnation().equals(e.incarnation());
-        Target added = known ? unlisted.target() : Target.of(e, now);
+        Target added = known ? unlisted.target() : Target.of(e, nowMillis);
         if (known) {
-            added.onListedAgain(e, now);
+            added.onListedAgain(e, nowMillis);
         }
         if (mReportedLeaving.remove(added.shortHash()) != null) {
             added.onLeavingAnnounced();
         }
-        updateEvacuated(added, now);
+        updateEvacuated(added, nowMillis);
         mById.put(e.id(), added);
         mEndedInEra.remove(e.incarnation());
         if (previous != null) {
@@ -194,14 +194,14 @@
     }
 
     private void removeUnlisted(
-            Map<String, TargetEntry> listed, List<TargetChange> changes, long now) {
+            Map<String, TargetEntry> listed, List<TargetChange> changes, long nowMillis) {
         for (Target t : List.copyOf(mById.values())) {
             if (listed.containsKey(t.entry().id())) {
                 continue;
             }
             t.onUnlisted();
             recordEnded(t);
-            mUnlisted.put(t.entry().id(), new Unlisted(t, now));
+            mUnlisted.put(t.entry().id(), new Unlisted(t, nowMillis));
             mById.remove(t.entry().id());
             changes.add(new TargetChange(t.entry(), TargetChange.Kind.GONE));
         }
--- a/forkseam-core/src/test/java/org/forkseam/core/admit/HoldOffQueueingTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/admit/HoldOffQueueingTest.java
@@ -43,12 +43,12 @@
         WAIT_BRIEFLY,
         WAIT_IN_DEADLINE;
 
-        boolean mayWait(long freeIn, long sinceFirst) {
+        boolean mayWait(long availableIn, long elapsed) {
             return switch (this) {
                 case REFUSE -> false;
-                case WAIT_BRIEFLY -> sinceFirst + freeIn <= OBJECTIVE_MILLIS / 2;
+                case WAIT_BRIEFLY -> elapsed + availableIn <= OBJECTIVE_MILLIS / 2;
                 case WAIT_IN_DEADLINE ->
-                        sinceFirst + freeIn + SERVICE_MILLIS + 2 * NETWORK_DELAY_MILLIS
+                        elapsed + availableIn + SERVICE_MILLIS + 2 * NETWORK_DELAY_MILLIS
                                 <= DEADLINE_MILLIS;
             };
         }
@@ -158,16 +158,16 @@
                 send(request, router, view.indexOf(free.get()), attempts, now);
                 return;
             }
-            long freeIn =
+            long availableIn =
                     view.stream()
                             .mapToLong(t -> Math.max(1, t.availability().holdOffUntil() - now))
                             .min()
                             .orElseThrow();
-            if (mPolicy.mayWait(freeIn, now - request.arrivedAt())) {
-                schedule(now + freeIn, t -> place(request, router, 0, t));
+            if (mPolicy.mayWait(availableIn, now - request.arrivedAt())) {
+                schedule(now + availableIn, t -> place(request, router, 0, t));
                 return;
             }
-            retry(request, freeIn + (long) (mRandom.nextDouble() * freeIn / 10), now);
+            retry(request, availableIn + (long) (mRandom.nextDouble() * availableIn / 10), now);
         }
 
         private void retry(Request request, long wait, long now) {
--- a/forkseam-core/src/test/java/org/forkseam/core/member/EvacuationsTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/member/EvacuationsTest.java
@@ -71,7 +71,7 @@
         assertThat(e.domains()).isEqualTo(states.get(7));
     }
 
-    // ---------------------------------------------------------------- a source that goes back
+    // ---------------------------------------------------------------- restore from a backup
 
     private static final long REWRITE_GRACE_MILLIS = 2_100;
 
--- a/forkseam-core/src/test/java/org/forkseam/core/member/TargetDirectoryRestoreTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/member/TargetDirectoryRestoreTest.java
@@ -51,7 +51,7 @@
         return mDirectory.find(id).map(t -> t.acceptsRequests(now)).orElse(false);
     }
 
-    // ---------------------------------------------------------------- fixed cases
+    // ---------------------------------------------------------------- examples
 
     @Example
     void laterEraIsAppliedAtAnyRevision() {
@@ -141,7 +141,7 @@
         assertThat(mDirectory.find("b").isPresent()).isFalse();
     }
 
-    // ---------------------------------------------------------------- orders
+    // ---------------------------------------------------------------- random event orders
 
     @Property(tries = 200, seed = "41", shrinking = ShrinkingMode.OFF)
     void oneRouter(@ForAll long seed) {
--- a/forkseam-core/src/test/java/org/forkseam/core/member/TargetDirectoryTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/member/TargetDirectoryTest.java
@@ -101,7 +101,7 @@
         assertThat(acceptsRequests("late")).isTrue();
     }
 
-    // ---------------------------------------------------------------- starts under the same id
+    // ---------------------------------------------------------------- incarnations
 
     private static TargetEntry born(String id, long millis) {
         return new TargetEntry(id, "pool", "10.0.0.1:1", "z", 8, false, 0, millis);
