--- a/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
@@ -54,7 +54,7 @@
                         clock,
                         sources,
                         random,
-                        new Knowledge.Self(settings.host(), settings.notices()),
+                        new Knowledge.RouterIdentity(settings.host(), settings.notices()),
                         listMillis(settings.bounds()));
         RouterService router =
                 RouterService.of(
--- a/forkseam-direct/src/main/java/org/forkseam/direct/StoreMeters.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/StoreMeters.java
@@ -6,7 +6,7 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 
 import org.forkseam.direct.know.Knowledge;
-import org.forkseam.direct.know.TargetWords;
+import org.forkseam.direct.know.TargetSignals;
 
 /**
  * Counts what a router asks of the store and learns from it. Calls are counted by kind, as each has
@@ -33,7 +33,7 @@
         FunctionCounter.builder(
                         "forkseam.evacuations.changes", mKnowledge, Knowledge::evacuationChanges)
                 .register(registry);
-        FunctionCounter.builder("forkseam.store.returns", mKnowledge, Knowledge::storeReturns)
+        FunctionCounter.builder("forkseam.store.returns", mKnowledge, Knowledge::storeRestores)
                 .description("times the store came back from an older copy")
                 .register(registry);
         FunctionCounter.builder(
@@ -49,10 +49,11 @@
         Gauge.builder("forkseam.entries.unusable", mKnowledge, Knowledge::unusableEntries)
                 .description("rows among the targets' that name none")
                 .register(registry);
-        for (TargetWords.Word word : TargetWords.Word.values()) {
-            FunctionCounter.builder("forkseam.target.words", mKnowledge, k -> k.words().heard(word))
+        for (TargetSignals.Signal word : TargetSignals.Signal.values()) {
+            FunctionCounter.builder(
+                            "forkseam.target.words", mKnowledge, k -> k.signals().received(word))
                     .description("what targets said of themselves, by way")
-                    .tag("word", TargetWords.name(word))
+                    .tag("word", TargetSignals.name(word))
                     .register(registry);
         }
         Gauge.builder("forkseam.evacuations", mKnowledge, k -> k.evacuated().size())
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
@@ -204,7 +204,7 @@
         heard();
         mHeadAt = mContext.now();
         mHead = head;
-        mContext.knowledge().words().onAnswer(mTarget, mDecoded);
+        mContext.knowledge().signals().onAnswer(mTarget, mDecoded);
         mDecoded.load().ifPresent(l -> mTarget.onLoad(l, mContext.now()));
         mDecoded.keepMillis().ifPresent(k -> mConnection.keepAtMost(k - keepMargin(k)));
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashWatch.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashWatch.java
@@ -65,7 +65,7 @@
             mLooks.put(t.start(), look);
         }
         look.mContents.add(content);
-        boolean decides = mQuarantine.isLastCrashAllowed(content);
+        boolean decides = mQuarantine.isOneCrashFromConviction(content);
         if (decides) {
             look.mThen.add(then);
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/QuarantineCheck.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/QuarantineCheck.java
@@ -32,7 +32,7 @@
     void ask(Runnable then) {
         mAsked = true;
         mQuarantine
-                .askToTry(mContent)
+                .requestTrial(mContent)
                 .thenAccept(
                         granted -> {
                             mTrial = granted;
@@ -56,6 +56,6 @@
 
     /** Returns after how many milliseconds a refused caller should come back. */
     long backInMillis() {
-        return mQuarantine.backInMillis(mContent);
+        return mQuarantine.retryAfterMillis(mContent);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigCodec.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigCodec.java
@@ -17,12 +17,12 @@
 import java.util.Map;
 import java.util.OptionalInt;
 
-/** Writes and reads changes of the configuration in datagrams. */
+/** Encodes and decodes configuration changes in datagrams. Stateless. */
 final class ConfigCodec {
     private static final int NO_PRIORITY = -1;
 
-    /** More than this is not written out: it would not fit into a datagram. */
-    private static final int MAX_PARTS = 100;
+    /** Larger changes never fit into a datagram and are not encoded. */
+    private static final int MAX_ENTRIES = 100;
 
     private ConfigCodec() {}
 
@@ -31,18 +31,18 @@
         b.writeLong(c.fingerprintBefore()).writeLong(c.fingerprintAfter());
         writeLimits(b, c.limits());
         int parts = c.routes().size() + c.removedRoutes().size() + c.teams().size();
-        if (parts + c.removedKeys().size() > MAX_PARTS) {
+        if (parts + c.removedKeys().size() > MAX_ENTRIES) {
             return b.writeZero(PeerCodec.MAX_BYTES);
         }
         b.writeShort(c.routes().size());
         c.routes().forEach(r -> writeRoute(b, r));
-        Texts.writeAll(b, c.removedRoutes());
+        StringCodec.writeAll(b, c.removedRoutes());
         b.writeShort(c.pools().size());
         c.pools().forEach(p -> writePool(b, p));
-        Texts.writeAll(b, c.removedPools());
+        StringCodec.writeAll(b, c.removedPools());
         b.writeShort(c.teams().size());
         c.teams().forEach((key, team) -> writeTeam(b, key, team));
-        Texts.writeAll(b, c.removedKeys());
+        StringCodec.writeAll(b, c.removedKeys());
         return b;
     }
 
@@ -57,15 +57,15 @@
         for (int i = b.readUnsignedShort(); i > 0; i--) {
             routes.add(readRoute(b));
         }
-        List<String> removedRoutes = Texts.readAll(b);
+        List<String> removedRoutes = StringCodec.readAll(b);
         List<Pool> pools = new ArrayList<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
             pools.add(readPool(b));
         }
-        List<String> removedPools = Texts.readAll(b);
+        List<String> removedPools = StringCodec.readAll(b);
         Map<String, Team> teams = new HashMap<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
-            teams.put(Texts.read(b), readTeam(b));
+            teams.put(StringCodec.read(b), readTeam(b));
         }
         return new ConfigChange(
                 before,
@@ -77,7 +77,7 @@
                 pools,
                 removedPools,
                 teams,
-                Texts.readAll(b),
+                StringCodec.readAll(b),
                 limits);
     }
 
@@ -87,24 +87,24 @@
     }
 
     private static void writeRoute(ByteBuf b, Route r) {
-        Texts.write(b, r.name());
-        Texts.write(b, r.host());
-        Texts.write(b, r.pathPrefix());
+        StringCodec.write(b, r.name());
+        StringCodec.write(b, r.host());
+        StringCodec.write(b, r.pathPrefix());
         b.writeByte(r.kind().ordinal()).writeLong(r.timeoutMillis()).writeLong(r.latencyMillis());
         b.writeLong(r.pauseMillis()).writeInt(r.attempts()).writeInt(r.priority());
         b.writeBoolean(r.open()).writeShort(r.shares().size());
         for (PoolShare s : r.shares()) {
-            Texts.write(b, s.pool());
+            StringCodec.write(b, s.pool());
             b.writeInt(s.weight());
         }
-        Texts.writeAll(b, r.homes());
+        StringCodec.writeAll(b, r.homes());
     }
 
     private static Route readRoute(ByteBuf b) {
         return new Route(
-                Texts.read(b),
-                Texts.read(b),
-                Texts.read(b),
+                StringCodec.read(b),
+                StringCodec.read(b),
+                StringCodec.read(b),
                 RouteKind.values()[b.readUnsignedByte()],
                 b.readLong(),
                 b.readLong(),
@@ -113,44 +113,44 @@
                 b.readInt(),
                 b.readBoolean(),
                 readShares(b),
-                Texts.readAll(b));
+                StringCodec.readAll(b));
     }
 
     private static List<PoolShare> readShares(ByteBuf b) {
         List<PoolShare> out = new ArrayList<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
-            out.add(new PoolShare(Texts.read(b), b.readInt()));
+            out.add(new PoolShare(StringCodec.read(b), b.readInt()));
         }
         return out;
     }
 
     private static void writePool(ByteBuf b, Pool p) {
-        Texts.write(b, p.name());
+        StringCodec.write(b, p.name());
         b.writeInt(p.maxConnections()).writeBoolean(p.engine());
         b.writeLong(p.coldStart().millis()).writeDouble(p.coldStart().perSecond());
     }
 
     private static Pool readPool(ByteBuf b) {
         return new Pool(
-                Texts.read(b),
+                StringCodec.read(b),
                 b.readInt(),
                 b.readBoolean(),
                 new ColdStart(b.readLong(), b.readDouble()));
     }
 
     private static void writeTeam(ByteBuf b, String key, Team t) {
-        Texts.write(b, key);
-        Texts.write(b, t.name());
+        StringCodec.write(b, key);
+        StringCodec.write(b, t.name());
         b.writeInt(t.priority().orElse(NO_PRIORITY));
-        Texts.writeAll(b, t.homes());
+        StringCodec.writeAll(b, t.homes());
     }
 
     private static Team readTeam(ByteBuf b) {
-        String name = Texts.read(b);
+        String name = StringCodec.read(b);
         int priority = b.readInt();
         return new Team(
                 name,
                 priority == NO_PRIORITY ? OptionalInt.empty() : OptionalInt.of(priority),
-                Texts.readAll(b));
+                StringCodec.readAll(b));
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
@@ -20,49 +20,44 @@
 import java.util.function.Consumer;
 
 /**
- * Follows what operators write: the configuration, of which it never goes back to an older one, and
- * the failure domains that are evacuated. One router waits for changes of both in one call and
- * tells the others what it finds: evacuations by name, of a new configuration what has changed; who
- * has missed that, or if it is much, reads the configuration itself. Used on the event loop.
+ * Follows the operators' state: the configuration, whose version never decreases, and the evacuated
+ * failure domains. One router long-polls for changes of both and broadcasts them. A router reads
+ * the store itself if it missed a change or the change is too large for a datagram. Confined to the
+ * event loop.
  */
 final class ConfigFollower extends FollowerBase {
-    /**
-     * A wait for a new configuration is begun anew after so long, so that a lost one is noticed.
-     */
-    private static final long WAIT_MILLIS = 1_000;
+    /** Duration of a long poll; a lost one is repeated after it. */
+    private static final long LONG_POLL_MILLIS = 1_000;
 
-    /**
-     * Another router that waits for configurations is heard each second; this allows for one loss.
-     */
-    private static final long HEARD_MILLIS = 1_150;
+    /** The polling router is heard once a second; the margin covers a slow response. */
+    private static final long READER_TIMEOUT_MILLIS = 1_150;
 
-    /** Evacuated domains that a log line names; there are as many as operators write. */
-    private static final int MAX_LOGGED = 20;
+    /** Evacuated domains named in a log line. */
+    private static final int MAX_LOGGED_DOMAINS = 20;
 
     private final FleetSource mSource;
     private final Listener mListener;
     private final Evacuations mEvacuations = Evacuations.create();
-    private final ReaderRole mRole = ReaderRole.of(HEARD_MILLIS);
+    private final ReaderRole mRole = ReaderRole.of(READER_TIMEOUT_MILLIS);
     private TrafficConfig mConfig = TrafficConfig.none();
     private StorePosition mPosition = StorePosition.NONE;
     private long mConfirmedAt;
     private StoreTime mReadAt = StoreTime.NEVER;
     private int mFailures;
-    private boolean mReadingNow;
-    private Future<?> mSettling;
+    private boolean mReadInProgress;
+    private Future<?> mSettleTask;
 
-    /** Is told of what is learned here. */
+    /** Receives changes of the operators' state. */
     interface Listener {
-        /** Is called when the store gives no answer. */
-        void onIgnorant();
+        /** Called when a read of the store has failed. */
+        void onStoreUnavailable();
 
-        /** Is called with all evacuated failure domains when they have changed. */
+        /** Called with all evacuated failure domains when they have changed. */
         void onEvacuated(Set<String> domains);
     }
 
-    /** Creates a follower that knows nothing yet. */
-    ConfigFollower(Surroundings around, FleetSource source, Listener listener) {
-        super(around);
+    ConfigFollower(Context context, FleetSource source, Listener listener) {
+        super(context);
         mSource = source;
         mListener = listener;
     }
@@ -71,17 +66,16 @@
         return mConfig;
     }
 
-    /** Returns the evacuated failure domains. */
     Evacuations evacuations() {
         return mEvacuations;
     }
 
-    /** Returns when the configuration was last known to be the newest. */
+    /** Returns when the configuration was last confirmed to be the newest. */
     long confirmedAt() {
         return mConfirmedAt;
     }
 
-    /** Takes a configuration in, from whatever source, if it is newer. */
+    /** Applies a configuration from any source if it is newer. */
     void offer(TrafficConfig c, String origin) {
         if (c.version() <= mConfig.version()) {
             return;
@@ -95,18 +89,21 @@
         mConfig = c;
     }
 
-    /** Takes all evacuated domains in, from whatever source, if they are not older. */
+    /** Replaces the evacuated domains unless the given ones are older. */
     void offerEvacuations(StorePosition position, Collection<String> domains, String origin) {
         if (mEvacuations.replace(position, domains, now())) {
             onEvacuationsChanged(origin);
         }
-        planSettling();
+        scheduleSettle();
     }
 
-    /** Plans to take the store's word alone again, a while after it has come back. */
-    private void planSettling() {
-        if (mEvacuations.isOpen(now()) && (mSettling == null || mSettling.isDone())) {
-            mSettling = later(mEvacuations.heldUntil() - now(), this::settle);
+    /**
+     * Schedules the end of the period after a restore of the store in which earlier evacuations are
+     * kept.
+     */
+    private void scheduleSettle() {
+        if (mEvacuations.isOpen(now()) && (mSettleTask == null || mSettleTask.isDone())) {
+            mSettleTask = schedule(mEvacuations.heldUntil() - now(), this::settle);
         }
     }
 
@@ -114,97 +111,94 @@
         if (mEvacuations.settle(now())) {
             onEvacuationsChanged("store, settled");
         }
-        planSettling(); // the store may have come back once more
+        scheduleSettle(); // the store may have been restored again
     }
 
     private void onEvacuationsChanged(String origin) {
         mListener.onEvacuated(mEvacuations.domains());
         Event.always("evacuations")
-                .with("domains", first(mEvacuations.domains()))
+                .with("domains", loggedDomains(mEvacuations.domains()))
                 .with("count", mEvacuations.domains().size())
                 .with("position", mEvacuations.position())
                 .with("origin", origin)
                 .log();
     }
 
-    private static List<String> first(Set<String> domains) {
-        return domains.stream().limit(MAX_LOGGED).toList();
+    private static List<String> loggedDomains(Set<String> domains) {
+        return domains.stream().limit(MAX_LOGGED_DOMAINS).toList();
     }
 
-    // ---------------------------------------------------------------- the store
+    // ---------------------------------------------------------------- store
 
     void start() {
         if (!isStopped()) {
-            mSource.readOperators().whenComplete((read, e) -> onRead(read, e, this::takeAll));
+            mSource.readOperators().whenComplete((read, e) -> onRead(read, e, this::applyAll));
         }
     }
 
-    /**
-     * Waits for a newer configuration, unless another router does and tells what it hears: then
-     * this one only looks whether the other is still heard.
-     */
+    /** Long-polls for changes unless another router does so and broadcasts them. */
     private void follow() {
         if (isStopped()) {
             return;
         }
         long quiet = mRole.quietMillis(now());
         if (quiet > 0) {
-            later(quiet + spread(), this::follow);
+            schedule(quiet + jitterMillis(), this::follow);
             return;
         }
         StorePosition since = mPosition;
-        mSource.awaitOperators(since, WAIT_MILLIS)
-                .whenComplete((read, e) -> onWaited(read, e, since));
+        mSource.awaitOperators(since, LONG_POLL_MILLIS)
+                .whenComplete((read, e) -> onLongPoll(read, e, since));
     }
 
-    /** Revisions of another era count other changes: those before the one asked for are missing. */
-    private void onWaited(Versioned<OperatorState> read, Throwable failure, StorePosition since) {
+    /** Revisions of different eras are not comparable, so a change of era requires a full read. */
+    private void onLongPoll(Versioned<OperatorState> read, Throwable failure, StorePosition since) {
         if (failure == null && !read.position().isOfEraOf(since)) {
-            watch().onAnswer();
-            readAnew();
+            storeHealth().onSuccess();
+            reread();
             return;
         }
-        onRead(read, failure, this::takeChanges);
+        onRead(read, failure, this::applyChanges);
     }
 
-    private void readAnew() {
-        rereadUnlessTold(() -> mPosition, this::follow, this::start);
+    private void reread() {
+        rereadUnlessUpdated(() -> mPosition, this::follow, this::start);
     }
 
     private void onRead(
             Versioned<OperatorState> read,
             Throwable failure,
-            Consumer<Versioned<OperatorState>> take) {
+            Consumer<Versioned<OperatorState>> apply) {
         if (failure != null) {
             onFailure(failure);
             return;
         }
-        watch().onAnswer();
+        storeHealth().onSuccess();
         mFailures = 0;
         mPosition = StorePosition.newer(mPosition, read.position());
         mConfirmedAt = now();
         TrafficConfig before = mConfig;
-        take.accept(read);
+        apply.accept(read);
         mReadAt = read.readTime().isAfter(mReadAt) ? read.readTime() : mReadAt;
-        tellChange(before);
-        tell(read);
+        broadcastChange(before);
+        broadcastRead(read);
         follow();
     }
 
-    /** Tells what changed in the configuration, unless it is too much for a message. */
-    private void tellChange(TrafficConfig before) {
+    /** Broadcasts the change of the configuration unless it is too large for a datagram. */
+    private void broadcastChange(TrafficConfig before) {
         if (mConfig != before && before.isKnown()) {
             ConfigChange.between(before, mConfig)
-                    .ifPresent(c -> link().tell(new PeerMessage.Config(c)));
+                    .ifPresent(c -> peers().broadcast(new PeerMessage.Config(c)));
         }
     }
 
-    private void takeAll(Versioned<OperatorState> read) {
+    private void applyAll(Versioned<OperatorState> read) {
         read.value().config().ifPresent(c -> offer(c, "store"));
         offerEvacuations(read.position(), read.value().evacuated(), "store");
     }
 
-    private void takeChanges(Versioned<OperatorState> read) {
+    private void applyChanges(Versioned<OperatorState> read) {
         OperatorState s = read.value();
         s.config().ifPresent(c -> offer(c, "store"));
         if (mEvacuations.change(read.position(), s.evacuated(), s.returned(), now())) {
@@ -212,7 +206,7 @@
         }
     }
 
-    private void tell(Versioned<OperatorState> read) {
+    private void broadcastRead(Versioned<OperatorState> read) {
         PeerMessage.Operators m =
                 new PeerMessage.Operators(
                         read.readAt(),
@@ -220,76 +214,79 @@
                         mConfig.version(),
                         mEvacuations.fingerprint(),
                         List.copyOf(mEvacuations.told()));
-        boolean newer = mEvacuations.position().isAfter(read.position()); // told by another
-        if (newer || !link().tell(m)) {
-            link().tell(m.withoutDomains());
+        boolean newer = mEvacuations.position().isAfter(read.position()); // received from a peer
+        if (newer || !peers().broadcast(m)) {
+            peers().broadcast(m.withoutDomains());
         }
     }
 
     private void onFailure(Throwable failure) {
         if (SourceException.isHistoryGone(failure)) {
-            watch().onAnswer();
-            readAnew();
+            storeHealth().onSuccess();
+            reread();
             return;
         }
-        watch().onNoAnswer(failure);
-        mListener.onIgnorant();
+        storeHealth().onFailure(failure);
+        mListener.onStoreUnavailable();
         boolean known = mPosition.isAfter(StorePosition.NONE);
-        later(pauseAfter(++mFailures), known ? this::follow : this::start);
+        schedule(backoffMillis(++mFailures), known ? this::follow : this::start);
     }
 
     // ---------------------------------------------------------------- other routers
 
-    /** Takes in what another router has found changed in the configuration. */
-    void onChange(ConfigChange change) {
+    /** Applies another router's change of the configuration. */
+    void onConfigChange(ConfigChange change) {
         mConfig.with(change).ifPresent(c -> offer(c, "peer, changes only"));
     }
 
-    /** Takes another router's reading in place of an own one, if it is newer and the same. */
+    /**
+     * Accepts another router's read in place of an own one if it is newer and consistent with the
+     * local state.
+     */
     void onMessage(PeerMessage.Operators m, InetSocketAddress sender) {
-        if (m.isWhole()) {
+        if (m.isComplete()) {
             offerEvacuations(m.position(), m.evacuated(), "peer");
         }
-        if (watch().isDown()) {
-            return; // it cannot be read, and what is kept is decided by reading anew
+        if (storeHealth().isDown()) {
+            return; // the read after the outage resolves what was kept
         }
         boolean missesDomains =
                 !m.position().isBefore(mEvacuations.position())
                         && m.fingerprint() != mEvacuations.fingerprint();
         if (m.version() > mConfig.version() || missesDomains) {
-            readNow();
+            readImmediately();
             return;
         }
         if (!m.readTime().isAfter(mReadAt) || m.version() < mConfig.version()) {
             return;
         }
         mReadAt = m.readTime();
-        if (m.isWhole()) {
+        if (m.isComplete()) {
             mPosition = StorePosition.newer(mPosition, m.position());
         }
         mConfirmedAt = now();
-        if (link().goesBefore(sender)) {
+        if (peers().isPrecededBy(sender)) {
             mRole.onHeard(mConfirmedAt);
         }
     }
 
     /**
-     * Reads beside the loop that follows the operators, whatever that is waiting for. One read at a
-     * time: several large ones at once would fill a narrow link and none would be in time.
+     * Reads independently of the polling loop. Only one read at a time: several large responses at
+     * once would saturate a slow link and all time out.
      */
-    private void readNow() {
-        if (mReadingNow) {
+    private void readImmediately() {
+        if (mReadInProgress) {
             return;
         }
-        mReadingNow = true;
+        mReadInProgress = true;
         mSource.readOperators()
                 .whenComplete(
                         (read, failure) -> {
-                            mReadingNow = false;
+                            mReadInProgress = false;
                             if (failure == null) {
-                                takeAll(read);
+                                applyAll(read);
                             } else {
-                                watch().onNoAnswer(failure);
+                                storeHealth().onFailure(failure);
                             }
                         });
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/CheckedFleetSource.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/EraCheckedFleetSource.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 
-/** Lets no answer of the store count that names an era which cannot be. */
-final class CheckedFleetSource implements FleetSource {
+/** Rejects responses of the store whose era is implausible. Confined to the event loop. */
+final class EraCheckedFleetSource implements FleetSource {
     private static final String ORIGIN = "store";
 
     private final FleetSource mSource;
     private final StoreEra mEra;
 
-    CheckedFleetSource(FleetSource source, StoreEra era) {
+    EraCheckedFleetSource(FleetSource source, StoreEra era) {
         mSource = source;
         mEra = era;
     }
@@ -45,7 +45,7 @@
         return mSource.unusableEntries();
     }
 
-    /** Returns an answer that may be used, or fails. */
+    /** Returns the response, or throws if its era is rejected. */
     static <T> Versioned<T> checked(StoreEra era, Versioned<T> read) {
         check(era, read.position());
         return read;
@@ -55,7 +55,10 @@
         if (!era.accepts(position, ORIGIN)) {
             throw new CompletionException(
                     SourceException.of(
-                            "answer of era " + position.era() + ", newest " + era.newest()));
+                            "store response rejected: era "
+                                    + position.era()
+                                    + ", newest known era "
+                                    + era.newest()));
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/CheckedSharedRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/EraCheckedSharedRows.java
@@ -11,28 +11,29 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Lets no answer of the store count that names an era which cannot be, and writes no row by what it
- * was in an earlier era: its revision may have been given out again to other content.
+ * Rejects responses of the store whose era is implausible, and conditional writes that expect a
+ * revision of an earlier era: the store may have reused that revision for other content. Confined
+ * to the event loop.
  */
-final class CheckedSharedRows implements SharedRows {
+final class EraCheckedSharedRows implements SharedRows {
     private final SharedRows mRows;
     private final StoreEra mEra;
 
-    CheckedSharedRows(SharedRows rows, StoreEra era) {
+    EraCheckedSharedRows(SharedRows rows, StoreEra era) {
         mRows = rows;
         mEra = era;
     }
 
     @Override
     public CompletableFuture<Versioned<List<SharedRow>>> readAll() {
-        return mRows.readAll().thenApply(r -> CheckedFleetSource.checked(mEra, r));
+        return mRows.readAll().thenApply(r -> EraCheckedFleetSource.checked(mEra, r));
     }
 
     @Override
     public CompletableFuture<Versioned<List<SharedRow>>> awaitChanges(
             StorePosition since, long waitMillis) {
         return mRows.awaitChanges(since, waitMillis)
-                .thenApply(r -> CheckedFleetSource.checked(mEra, r));
+                .thenApply(r -> EraCheckedFleetSource.checked(mEra, r));
     }
 
     @Override
@@ -41,15 +42,19 @@
         boolean mustExist = expected.revision() > 0;
         if (mustExist && expected.era() != mEra.newest()) {
             return CompletableFuture.failedFuture(
-                    SourceException.of(key + " is known of era " + expected.era() + " only"));
+                    SourceException.of(
+                            key
+                                    + " not written: the expected revision is from era "
+                                    + expected.era()
+                                    + ", which has ended"));
         }
         return mRows.compareAndSet(key, value, expected)
-                .thenApply(row -> written(row, mustExist, expected));
+                .thenApply(row -> verifyWritten(row, mustExist, expected));
     }
 
-    /** The store may come back while the call is under way: then what was there is not known. */
-    private SharedRow written(SharedRow row, boolean mustExist, StorePosition expected) {
-        CheckedFleetSource.check(mEra, row.position());
+    /** Logs a write during which the store was restored: the value that it replaced is unknown. */
+    private SharedRow verifyWritten(SharedRow row, boolean mustExist, StorePosition expected) {
+        EraCheckedFleetSource.check(mEra, row.position());
         if (mustExist && !row.position().isOfEraOf(expected)) {
             Event.always("row_written_unseen")
                     .with("row", row.key())
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/FollowerBase.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/FollowerBase.java
@@ -10,60 +10,63 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** Is the common part of what follows something in the store. Used on the event loop. */
+/**
+ * Base class of the followers of data in the store: scheduling, jitter and backoff. Confined to the
+ * event loop.
+ */
 abstract class FollowerBase {
-    /** Routers read at random moments in such a span, so that mostly one reads for all. */
-    static final long SPREAD_MILLIS = 250;
+    /** Random delay of reads, so that usually one router reads and the others hear of it first. */
+    static final long JITTER_MILLIS = 250;
 
     private static final long FIRST_BACKOFF_MILLIS = 100;
 
-    /** Longest pause of a router that knows too little to serve: its callers wait for it. */
+    /** Maximum backoff of a router that cannot serve callers yet. */
     private static final long MAX_BACKOFF_MILLIS = 500;
 
     /**
-     * Longest pause of a router that serves by what it knows, while the store refuses it or is
-     * away. Each refused call has its price, and a router makes three kinds of read. What it misses
-     * for the second more it hears from others, once the store answers it again.
+     * Maximum backoff of a router that can serve callers, to limit the load on an overloaded store.
      */
     private static final long MAX_SERVING_BACKOFF_MILLIS = 1_500;
 
-    /** Enough to reach the longest pause. */
     private static final int MAX_DOUBLINGS = 4;
 
     /**
-     * Routers that need all that one of them is about to read and tell leave it so long to that
-     * one; longer than a configuration of 2,000 routes takes at 10 Mbit/s. Unit: milliseconds.
+     * Head start of the router that reads first after a change of era; covers the transfer of a
+     * configuration of 2,000 routes at 10 Mbit/s.
      */
-    private static final long LEFT_TO_FIRST_MILLIS = 700;
+    private static final long FIRST_READER_HEAD_START_MILLIS = 700;
 
-    /** Then they read at random moments of such a span at most. Unit: milliseconds. */
-    private static final long MAX_REREAD_SPREAD_MILLIS = 1_000;
+    /** Maximum random delay of the other routers after that head start. */
+    private static final long MAX_REREAD_JITTER_MILLIS = 1_000;
 
-    /** What each router may do, and one or a few need, is spread over so long a router. */
-    private static final long SPREAD_MILLIS_A_ROUTER = 10;
+    /** Scales random delays with the number of routers. */
+    private static final long JITTER_MILLIS_PER_ROUTER = 10;
 
-    private final Surroundings mAround;
+    private final Context mContext;
     private boolean mStopped;
 
     /**
-     * Holds what all followers of a router work with.
+     * Holds the dependencies that the followers of a router share.
      *
-     * @param link to the other routers
-     * @param watch over the store
-     * @param era of the store
-     * @param serving tells whether this router knows enough to serve callers
+     * @param loop event loop of the followers
+     * @param clock local steady clock
+     * @param random source of jitter
+     * @param peers the other routers
+     * @param storeHealth availability of the store
+     * @param era newest era of the store
+     * @param serving whether this router knows enough to serve callers
      */
-    record Surroundings(
+    record Context(
             EventLoop loop,
             Clock clock,
             RandomGenerator random,
-            PeerLink link,
-            SourceWatch watch,
+            PeerGroup peers,
+            StoreHealth storeHealth,
             StoreEra era,
             BooleanSupplier serving) {}
 
-    FollowerBase(Surroundings around) {
-        mAround = around;
+    FollowerBase(Context context) {
+        mContext = context;
     }
 
     void stop() {
@@ -75,73 +78,76 @@
     }
 
     final long now() {
-        return mAround.clock().nowMillis();
+        return mContext.clock().nowMillis();
     }
 
     final RandomGenerator random() {
-        return mAround.random();
+        return mContext.random();
     }
 
-    final long spread() {
-        return mAround.random().nextLong(SPREAD_MILLIS);
+    final long jitterMillis() {
+        return mContext.random().nextLong(JITTER_MILLIS);
     }
 
-    final PeerLink link() {
-        return mAround.link();
+    final PeerGroup peers() {
+        return mContext.peers();
     }
 
-    final SourceWatch watch() {
-        return mAround.watch();
+    final StoreHealth storeHealth() {
+        return mContext.storeHealth();
     }
 
-    final java.util.concurrent.Future<?> later(long millis, Runnable task) {
-        return mAround.loop().schedule(task, millis, TimeUnit.MILLISECONDS);
+    final java.util.concurrent.Future<?> schedule(long millis, Runnable task) {
+        return mContext.loop().schedule(task, millis, TimeUnit.MILLISECONDS);
     }
 
     final StoreEra era() {
-        return mAround.era();
+        return mContext.era();
     }
 
     /**
-     * Reads all anew, the history of before being gone, unless another router tells meanwhile what
-     * the store holds now.
+     * Reads everything after a gap in the history, unless another router's message closes the gap
+     * first.
      *
-     * @param known up to where this router knows the store
-     * @param follow goes on from there
+     * @param known position up to which this router knows the store
+     * @param follow continues from that position
+     * @param read reads everything
      */
-    final void rereadUnlessTold(Supplier<StorePosition> known, Runnable follow, Runnable read) {
+    final void rereadUnlessUpdated(Supplier<StorePosition> known, Runnable follow, Runnable read) {
         StorePosition stale = known.get();
-        later(
-                pauseAfter(1) + rereadPause(),
+        schedule(
+                backoffMillis(1) + rereadDelayMillis(),
                 () -> (known.get().isAfter(stale) ? follow : read).run());
     }
 
     /**
-     * Returns the pause before this router reads all anew because the history of before is gone:
-     * all routers find that at the same time, and one of them tells the others.
+     * Returns the delay of a full read after a gap in the history. All routers detect the gap at
+     * the same time; the first one reads and broadcasts.
      */
-    private long rereadPause() {
-        if (link().goesFirst()) {
+    private long rereadDelayMillis() {
+        if (peers().isFirst()) {
             return 0;
         }
-        return LEFT_TO_FIRST_MILLIS + spreadOverRouters(MAX_REREAD_SPREAD_MILLIS);
+        return FIRST_READER_HEAD_START_MILLIS + fleetJitterMillis(MAX_REREAD_JITTER_MILLIS);
     }
 
-    /** Returns a random moment of a span that grows with the number of other routers. */
-    final long spreadOverRouters(long maxMillis) {
-        long span = Math.min(maxMillis, SPREAD_MILLIS_A_ROUTER * link().others());
+    /**
+     * Returns a random delay whose range grows with the number of other routers, up to a maximum.
+     */
+    final long fleetJitterMillis(long maxMillis) {
+        long span = Math.min(maxMillis, JITTER_MILLIS_PER_ROUTER * peers().peerCount());
         return span == 0 ? 0 : random().nextLong(span);
     }
 
-    /** Returns a random moment of such a span, however many routers there are. */
-    final long spreadOverRouters() {
-        return spreadOverRouters(Long.MAX_VALUE);
+    /** Returns a random delay whose range grows with the number of other routers. */
+    final long fleetJitterMillis() {
+        return fleetJitterMillis(Long.MAX_VALUE);
     }
 
-    /** Returns the pause before the next try of a read that has failed so often in a row. */
-    final long pauseAfter(int failures) {
+    /** Returns the jittered exponential backoff after this number of consecutive failures. */
+    final long backoffMillis(int failures) {
         long max =
-                mAround.serving().getAsBoolean() ? MAX_SERVING_BACKOFF_MILLIS : MAX_BACKOFF_MILLIS;
+                mContext.serving().getAsBoolean() ? MAX_SERVING_BACKOFF_MILLIS : MAX_BACKOFF_MILLIS;
         long pause = Math.min(max, FIRST_BACKOFF_MILLIS << Math.min(failures - 1, MAX_DOUBLINGS));
         return pause / 2 + random().nextLong(pause);
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
@@ -29,9 +29,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Holds what a router knows: the configuration, the targets and their load, the seats of engine
- * pools, and the other routers. Each is followed by a class of its own; this one brings them
- * together and takes the messages of other routers. Used on the event loop.
+ * Holds this router's view of the fleet: configuration, targets and their load, seats of engine
+ * pools, and the other routers. Delegates each part to a follower and dispatches messages of other
+ * routers. Confined to the event loop.
  *
  * @since 0.2
  */
@@ -39,36 +39,39 @@
     /** Name of the service. */
     public static final String NAME = "knowledge";
 
-    /** Other routers are heard some times a second; a pause so long means that a way is cut. */
-    private static final long SILENCE_MILLIS = 1_000;
+    /**
+     * A longer gap between messages of other routers indicates a network partition; they send
+     * several messages a second.
+     */
+    private static final long PEER_SILENCE_MILLIS = 1_000;
 
     private final EventLoop mLoop;
     private final Clock mClock;
     private final Supplier<Map<String, Long>> mCalls;
     private final Supplier<Map<String, Long>> mUnusable;
-    private final PeerLink mLink;
-    private final PeerClient mPeers;
+    private final PeerGroup mPeerGroup;
+    private final PeerClient mPeerClient;
     private final StoreEra mEra = new StoreEra();
-    private final SourceWatch mWatch = new SourceWatch(this::onSourceBack);
+    private final StoreHealth mStoreHealth = new StoreHealth(this::onStoreRecovered);
     private final ConfigFollower mConfig;
     private final TargetFollower mTargets;
     private final RowFollower mRows;
     private final Seats mSeats;
     private final Quarantine mQuarantine;
-    private final Learned mLearned;
-    private final TargetWords mWords;
+    private final TargetObservations mObservations;
+    private final TargetSignals mSignals;
     private long mEvacuationChanges;
-    private long mHeardAt;
-    private boolean mAsking;
+    private long mLastMessageAt;
+    private boolean mSnapshotRequested;
     private boolean mStopped;
 
     /**
-     * Holds where knowledge comes from.
+     * Holds the data sources of the service.
      *
      * @param fleet configuration and targets
      * @param shared rows that routers share
-     * @param peers addresses of other routers, IP:PORT, asked while the store cannot be
-     * @param calls tells the calls made to the store since the start, by kind
+     * @param peers addresses of other routers, IP:PORT, queried while the store is unavailable
+     * @param calls supplies the number of calls to the store since the start, by kind
      */
     public record Sources(
             FleetSource fleet,
@@ -77,14 +80,14 @@
             Supplier<Map<String, Long>> calls) {}
 
     /**
-     * Names this router to the others.
+     * Identifies this router to the others.
      *
      * @param host name of its host
-     * @param notices where it takes messages of other routers
+     * @param peerAddress UDP address on which it receives messages of other routers
      */
-    public record Self(String host, InetSocketAddress notices) {
-        String text() {
-            return notices.getAddress().getHostAddress() + ":" + notices.getPort();
+    public record RouterIdentity(String host, InetSocketAddress peerAddress) {
+        String peerAddressText() {
+            return peerAddress.getAddress().getHostAddress() + ":" + peerAddress.getPort();
         }
     }
 
@@ -93,40 +96,40 @@
             Clock clock,
             Sources sources,
             RandomGenerator random,
-            Self self,
+            RouterIdentity self,
             long listMillis) {
         mLoop = loop;
         mClock = clock;
         mCalls = sources.calls();
         mUnusable = sources.fleet()::unusableEntries;
-        mLink = new PeerLink(loop, self, random, this::onMessage);
-        mPeers = PeerClient.of(loop, clock, sources.peers());
-        FollowerBase.Surroundings around =
-                new FollowerBase.Surroundings(
-                        loop, clock, random, mLink, mWatch, mEra, this::isComplete);
-        FleetSource fleet = new CheckedFleetSource(sources.fleet(), mEra);
-        mTargets = new TargetFollower(around, fleet, listMillis, this::onRestart);
-        mConfig = new ConfigFollower(around, fleet, new OperatorListener());
-        SharedRows shared = new CheckedSharedRows(sources.shared(), mEra);
-        mRows = new RowFollower(around, shared, this::onRow);
-        mSeats = new Seats(around, shared, mRows, mTargets.targets());
-        mQuarantine = new Quarantine(around, shared, mRows);
-        mWords = new TargetWords(mTargets.targets(), clock);
-        mLearned = new Learned(clock, mTargets.targets(), mQuarantine, mWords);
+        mPeerGroup = new PeerGroup(loop, self, random, this::onMessage);
+        mPeerClient = PeerClient.of(loop, clock, sources.peers());
+        FollowerBase.Context context =
+                new FollowerBase.Context(
+                        loop, clock, random, mPeerGroup, mStoreHealth, mEra, this::isComplete);
+        FleetSource fleet = new EraCheckedFleetSource(sources.fleet(), mEra);
+        mTargets = new TargetFollower(context, fleet, listMillis, this::onRestart);
+        mConfig = new ConfigFollower(context, fleet, new OperatorListener());
+        SharedRows shared = new EraCheckedSharedRows(sources.shared(), mEra);
+        mRows = new RowFollower(context, shared, this::onRow);
+        mSeats = new Seats(context, shared, mRows, mTargets.targets());
+        mQuarantine = new Quarantine(context, shared, mRows);
+        mSignals = new TargetSignals(mTargets.targets(), clock);
+        mObservations = new TargetObservations(clock, mTargets.targets(), mQuarantine, mSignals);
     }
 
     /**
      * Creates the service.
      *
-     * @param self this router, as others know it
-     * @param listMillis pause between two reads of the list of targets
+     * @param self identity of this router
+     * @param listMillis interval between reads of the list of targets, in milliseconds
      */
     public static Knowledge of(
             EventLoop loop,
             Clock clock,
             Sources sources,
             RandomGenerator random,
-            Self self,
+            RouterIdentity self,
             long listMillis) {
         return new Knowledge(loop, clock, sources, random, self, listMillis);
     }
@@ -144,12 +147,12 @@
         mLoop.execute(mTargets::start);
         mLoop.execute(mRows::start);
         mLoop.execute(mQuarantine::start);
-        every(mSeats.planMillis(), () -> mSeats.plan(config()));
-        every(LoadExchange.PERIOD_MILLIS, this::tellLearned);
-        return mLink.listen();
+        scheduleEvery(mSeats.planPeriodMillis(), () -> mSeats.plan(config()));
+        scheduleEvery(LoadExchange.PERIOD_MILLIS, this::sendObservations);
+        return mPeerGroup.listen();
     }
 
-    private void every(long millis, Runnable task) {
+    private void scheduleEvery(long millis, Runnable task) {
         mLoop.scheduleWithFixedDelay(task, millis, millis, TimeUnit.MILLISECONDS);
     }
 
@@ -163,7 +166,7 @@
                     mSeats.stop();
                     mQuarantine.stop();
                     mRows.stop();
-                    mLink.close();
+                    mPeerGroup.close();
                 });
         return CompletableFuture.completedFuture(null);
     }
@@ -180,23 +183,23 @@
         m.put("list_age_ms", now - mTargets.confirmedAt());
         m.put("targets", targets().all().size());
         m.put("unusable_entries", mUnusable.get());
-        m.put("target_words", mWords.dump());
-        m.put("routers", mLink.routers());
+        m.put("target_words", mSignals.dump());
+        m.put("routers", mPeerGroup.routerCount());
         m.put("seats", mSeats.dump());
         m.put("quarantine", mQuarantine.dump());
         m.put("crash_suspects", mQuarantine.suspects());
-        m.put("messages_sent", mLink.sent());
+        m.put("messages_sent", mPeerGroup.messagesSent());
         m.put("store_calls", mCalls.get());
-        m.put("source_down", mWatch.isDown());
+        m.put("source_down", mStoreHealth.isDown());
         m.put("store_era", mEra.newest());
-        m.put("store_returns", mEra.returns());
+        m.put("store_returns", mEra.restores());
         m.put("store_eras_refused", mEra.refused());
         return m;
     }
 
     // ---------------------------------------------------------------- public API
 
-    /** Sets the pause between two reads of the list of targets. */
+    /** Sets the interval between reads of the list of targets. */
     public void setListMillis(long millis) {
         mLoop.execute(() -> mTargets.setPauseMillis(millis));
     }
@@ -206,12 +209,12 @@
         return mConfig.config();
     }
 
-    /** Returns the failure domains that operators have asked to send nothing to. */
+    /** Returns the failure domains that operators have evacuated. */
     public Set<String> evacuated() {
         return mConfig.evacuations().domains();
     }
 
-    /** Returns how often the evacuated failure domains have changed since the start. */
+    /** Returns the number of changes of the evacuated failure domains since the start. */
     public long evacuationChanges() {
         return mEvacuationChanges;
     }
@@ -226,64 +229,72 @@
         return mSeats;
     }
 
-    /** Returns which requests are kept from targets. */
+    /** Returns the quarantine of requests that crash targets. */
     public Quarantine quarantine() {
         return mQuarantine;
     }
 
-    /** Returns what takes in what targets say of themselves in their answers. */
-    public TargetWords words() {
-        return mWords;
+    /** Returns the handler of signals that targets send in their responses. */
+    public TargetSignals signals() {
+        return mSignals;
     }
 
-    /** Returns which targets have answered which keys. */
+    /** Returns which targets have processed the prompts of which keys. */
     public HolderMemory holders() {
-        return mLearned.holders();
+        return mObservations.holders();
     }
 
-    /** Notes that a target has answered a request with a key, and so has read its prompt. */
+    /** Records that a target has answered a request with a key and so has processed its prompt. */
     public void onAnswered(String pool, long key, Target t) {
-        mLearned.onAnswered(key, t, mSeats.tellsOf(pool, key, t.entry().id()));
+        mObservations.onAnswered(key, t, mSeats.isImpliedHolder(pool, key, t.entry().id()));
     }
 
-    /** Returns this router's share of what a target takes, or empty while routers are unknown. */
+    /**
+     * Returns this router's share of a cold target's capacity; empty while the other routers are
+     * unknown.
+     */
     public Optional<ColdShare> shareFor(long targetHash) {
-        return mRows.knowsRouters() ? Optional.of(mLink.shareFor(targetHash)) : Optional.empty();
+        return mRows.knowsRouters()
+                ? Optional.of(mPeerGroup.shareFor(targetHash))
+                : Optional.empty();
     }
 
-    /** Returns the number of entries among the targets' that name none. */
+    /** Returns the number of unusable entries in the list of targets. */
     public long unusableEntries() {
         return mUnusable.get().values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** Returns which era the store is in, as far as it was seen. */
+    /** Returns the newest known era of the store. */
     public int storeEra() {
         return mEra.newest();
     }
 
-    /** Returns how often the store was seen to come back from an older copy. */
-    public long storeReturns() {
-        return mEra.returns();
+    /** Returns how often the store was observed to have been restored from an older copy. */
+    public long storeRestores() {
+        return mEra.restores();
     }
 
-    /** Returns how often an era of the store was not believed. */
+    /** Returns how often an implausible era of the store was refused. */
     public long storeErasRefused() {
         return mEra.refusals();
     }
 
-    /** Returns the number of routers known, at least this one. */
+    /** Returns the number of known routers, including this one. */
     public int routers() {
-        return mLink.routers();
+        return mPeerGroup.routerCount();
     }
 
-    /** Returns the calls made to the store since the start, by kind. */
+    /** Returns the number of calls to the store since the start, by kind. */
     public Map<String, Long> storeCalls() {
         return mCalls.get();
     }
 
-    /** Returns whether there is enough to serve callers: a configuration and a list of targets. */
+    /**
+     * Returns whether a configuration and a list of targets are known, which is required to serve
+     * callers.
+     */
     public boolean isComplete() {
-        return config().isKnown() && mTargets.isListed();
+        return config().isKnown() && mTargets.hasList();
     }
 
     // ---------------------------------------------------------------- other routers
@@ -292,12 +303,12 @@
         if (mStopped) {
             return;
         }
-        noteHeard(m);
-        if (!isOfPossibleEra(m)) {
+        onPeerHeard(m);
+        if (!hasPlausibleEra(m)) {
             return;
         }
-        if (m instanceof PeerMessage.Learned l) {
-            mLearned.take(l);
+        if (m instanceof PeerMessage.Observations b) {
+            mObservations.apply(b);
             return;
         }
         if (m instanceof PeerMessage.Operators o) {
@@ -305,14 +316,14 @@
             return;
         }
         if (m instanceof PeerMessage.Config c) {
-            mConfig.onChange(c.change());
+            mConfig.onConfigChange(c.change());
             return;
         }
-        if (mWatch.isDown()) {
-            return; // what is kept through an outage is decided by reading anew
+        if (mStoreHealth.isDown()) {
+            return; // the read after the outage resolves what was kept
         }
         if (m instanceof PeerMessage.Targets t) {
-            mTargets.onNews(t.news());
+            mTargets.onListChange(t.news());
         } else if (m instanceof PeerMessage.Rows r) {
             mRows.onMessage(r, sender);
         } else if (m instanceof PeerNotice n) {
@@ -320,23 +331,26 @@
         }
     }
 
-    /** Takes in the era that a message names; one of before says what was known then, no more. */
-    private boolean isOfPossibleEra(PeerMessage m) {
+    /**
+     * Tracks the era of a message. A message of an earlier era passes: the handlers ignore outdated
+     * content.
+     */
+    private boolean hasPlausibleEra(PeerMessage m) {
         Optional<StorePosition> p = m.storePosition();
         return p.isEmpty() || p.get().era() <= mEra.newest() || mEra.accepts(p.get(), "peer");
     }
 
     /**
-     * Tries the store at once where another router shows that it can be reached: one that is heard
-     * after a silence, so that this router was cut off itself, or one that has read the list. By
-     * its own pauses a router that was cut off is behind for up to three seconds more.
+     * Retries the store immediately, without waiting for the backoff, if a message indicates that
+     * it is reachable again: either the first message after a silence, which means that a partition
+     * has healed, or one whose sender has just read the list.
      */
-    private void noteHeard(PeerMessage m) {
+    private void onPeerHeard(PeerMessage m) {
         long now = mClock.nowMillis();
-        boolean afterSilence = now - mHeardAt > SILENCE_MILLIS;
+        boolean afterSilence = now - mLastMessageAt > PEER_SILENCE_MILLIS;
         boolean hasRead = m instanceof PeerNotice || m instanceof PeerMessage.Targets;
-        mHeardAt = now;
-        if (mWatch.isDown() && (afterSilence || hasRead)) {
+        mLastMessageAt = now;
+        if (mStoreHealth.isDown() && (afterSilence || hasRead)) {
             mTargets.retry();
         }
     }
@@ -346,15 +360,15 @@
     }
 
     private void onRow(SharedRow row) {
-        mSeats.take(row);
-        mQuarantine.take(row);
+        mSeats.apply(row);
+        mQuarantine.apply(row);
     }
 
-    /** Takes in what the follower of the operators learns. */
+    /** Forwards the operators' changes. */
     private final class OperatorListener implements ConfigFollower.Listener {
         @Override
-        public void onIgnorant() {
-            askPeers();
+        public void onStoreUnavailable() {
+            requestSnapshot();
         }
 
         @Override
@@ -364,23 +378,23 @@
         }
     }
 
-    private void tellLearned() {
+    private void sendObservations() {
         if (!mStopped) {
-            mLearned.news().ifPresent(mLink::tellAny);
+            mObservations.digest().ifPresent(mPeerGroup::sendToRandomPeer);
         }
     }
 
-    /** Asks another router while this one knows too little to serve. */
-    private void askPeers() {
-        if (isComplete() || mAsking || !mPeers.hasPeers()) {
+    /** Requests a snapshot from another router while this one cannot serve callers. */
+    private void requestSnapshot() {
+        if (isComplete() || mSnapshotRequested || !mPeerClient.hasPeers()) {
             return;
         }
-        mAsking = true;
-        mPeers.ask().whenComplete(this::onPeer);
+        mSnapshotRequested = true;
+        mPeerClient.requestSnapshot().whenComplete(this::onSnapshot);
     }
 
-    private void onPeer(PeerSnapshot s, Throwable failure) {
-        mAsking = false;
+    private void onSnapshot(PeerSnapshot s, Throwable failure) {
+        mSnapshotRequested = false;
         if (failure != null) {
             Event.of("peer_knows_nothing").with("cause", failure.getMessage()).log();
             return;
@@ -391,12 +405,13 @@
         mRows.onSnapshot(s.rows());
     }
 
-    /** Returns what this router knows, for another; empty while it knows too little to serve. */
+    /** Returns a snapshot for another router; empty while this one cannot serve callers. */
     public Optional<byte[]> snapshot() {
         if (!isComplete()) {
             return Optional.empty();
         }
-        List<TargetEntry> entries = targets().all().stream().map(Knowledge::told).toList();
+        List<TargetEntry> entries =
+                targets().all().stream().map(Knowledge::toSnapshotEntry).toList();
         return Optional.of(
                 PeerSnapshot.of(
                                 config(),
@@ -407,14 +422,14 @@
                         .write());
     }
 
-    /** Tells of a target that leaves as leaving, also where its row does not say so. */
-    private static TargetEntry told(Target t) {
+    /** Marks a leaving target as leaving also if its row does not. */
+    private static TargetEntry toSnapshotEntry(Target t) {
         return t.availability().isLeaving() ? t.entry().withLeaving() : t.entry();
     }
 
-    // ---------------------------------------------------------------- the source itself
+    // ---------------------------------------------------------------- store
 
-    private void onSourceBack() {
+    private void onStoreRecovered() {
         long now = mClock.nowMillis();
         long listAge = now - mTargets.confirmedAt();
         targets().onSourceBack(now, listAge);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerChannel.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerChannel.java
@@ -21,11 +21,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * Carries notices between routers. Datagrams may be lost or late: each router reads for itself when
- * it hears nothing. Used on the event loop.
+ * Sends and receives datagrams between routers. Datagrams may be lost or delayed; a router that
+ * receives none reads the store itself. Confined to the event loop.
  */
 final class PeerChannel {
-    /** Parsed addresses kept: three times the routers of the largest fleet reckoned with. */
+    /** Parsed addresses cached. */
     private static final int MAX_ADDRESSES = 1_024;
 
     private final EventLoop mLoop;
@@ -71,14 +71,14 @@
         return bound;
     }
 
-    /** Sends a message, or returns false if it is too long for a datagram. */
+    /** Sends a message; returns false if it is too long for a datagram. */
     boolean send(PeerMessage message, Collection<String> addresses) {
         Optional<ByteBuf> bytes = PeerCodec.write(message);
         if (bytes.isEmpty()) {
             return false;
         }
         if (mChannel == null) {
-            return true; // nobody is told before this router listens itself
+            return true; // not bound yet; the message is dropped
         }
         for (String a : addresses) {
             mChannel.write(new DatagramPacket(bytes.get().retainedDuplicate(), address(a)));
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerClient.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerClient.java
@@ -12,22 +12,22 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 
-/** Asks other routers for what they know, one after another. Used on the event loop. */
+/** Requests snapshots from other routers, in rotation. Confined to the event loop. */
 final class PeerClient {
-    /** Where a router tells what it knows. */
+    /** Path of the snapshot on the admin interface. */
     static final String PATH = "/knowledge";
 
-    private static final long CALL_MILLIS = 500;
+    private static final long CALL_TIMEOUT_MILLIS = 500;
     private static final int OK = 200;
 
     private final List<HttpCalls> mPeers;
-    private int mNext;
+    private int mNextIndex;
 
     private PeerClient(List<HttpCalls> peers) {
         mPeers = peers;
     }
 
-    /** Creates a client of routers at IP:PORT addresses, some of which may be stale. */
+    /** Creates a client of routers at IP:PORT addresses; some may be outdated. */
     static PeerClient of(EventLoop loop, Clock clock, List<String> addresses) {
         Connector c = Connector.of(loop);
         return new PeerClient(
@@ -38,16 +38,20 @@
         return !mPeers.isEmpty();
     }
 
-    /** Asks the next router; the future fails if it knows nothing or cannot be reached. */
-    CompletableFuture<PeerSnapshot> ask() {
-        HttpCalls peer = mPeers.get(mNext++ % mPeers.size());
-        return peer.call(HttpMethod.GET, PATH, new byte[0], CALL_MILLIS)
-                .thenApply(PeerClient::snapshot);
+    /**
+     * Requests a snapshot from the next router; the future fails if that router has none or is
+     * unreachable.
+     */
+    CompletableFuture<PeerSnapshot> requestSnapshot() {
+        HttpCalls peer = mPeers.get(mNextIndex++ % mPeers.size());
+        return peer.call(HttpMethod.GET, PATH, new byte[0], CALL_TIMEOUT_MILLIS)
+                .thenApply(PeerClient::parseReply);
     }
 
-    private static PeerSnapshot snapshot(HttpCalls.Reply reply) {
+    private static PeerSnapshot parseReply(HttpCalls.Reply reply) {
         if (reply.status() != OK) {
-            throw new CompletionException(new IOException("status " + reply.status()));
+            throw new CompletionException(
+                    new IOException("peer snapshot request failed with status " + reply.status()));
         }
         try {
             return PeerSnapshot.read(reply.body());
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerCodec.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerCodec.java
@@ -17,28 +17,28 @@
 import java.util.Optional;
 
 /**
- * Writes and reads the datagrams of routers.
+ * Encodes and decodes the datagrams that routers exchange. Stateless.
  *
- * <p>A message that would be longer than a datagram should be is not written: the sender then tells
- * only that there is something to read.
+ * <p>Messages longer than {@link #MAX_BYTES} are not encoded; the sender then only announces that
+ * there is something to read.
  */
 final class PeerCodec {
-    /** What fits into one packet of the usual 1,500 bytes on any link. */
+    /** Fits into one packet at an MTU of 1,500 bytes. */
     static final int MAX_BYTES = 1_400;
 
-    /** First byte of a datagram; another stands for another format. */
+    /** First byte of a datagram: version of the format. */
     static final int FORMAT = 4;
 
-    // The numbers below these are the kinds of PeerNotice.
+    // Message kinds; lower numbers are the kinds of PeerNotice.
     private static final int TARGETS = 16;
     private static final int ROWS = 17;
-    private static final int LEARNED = 18;
+    private static final int OBSERVATIONS = 18;
     private static final int OPERATORS = 19;
     private static final int CONFIG = 20;
 
     private PeerCodec() {}
 
-    /** Writes a message, or returns empty if it is too long. */
+    /** Encodes a message; returns empty if it is too long. */
     static Optional<ByteBuf> write(PeerMessage m) {
         ByteBuf b;
         if (m instanceof PeerNotice n) {
@@ -46,18 +46,18 @@
         } else if (m instanceof PeerMessage.Operators o) {
             b = writeOperators(o);
         } else if (m instanceof PeerMessage.Config c) {
-            b = ConfigCodec.write(begin(CONFIG), c.change());
+            b = ConfigCodec.write(newMessage(CONFIG), c.change());
         } else if (m instanceof PeerMessage.Targets t) {
             b = writeTargets(t.news());
         } else if (m instanceof PeerMessage.Rows r) {
             b = writeRows(r);
         } else {
-            b = writeLearned((PeerMessage.Learned) m);
+            b = writeObservations((PeerMessage.Observations) m);
         }
         return b.readableBytes() <= MAX_BYTES ? Optional.of(b) : Optional.empty();
     }
 
-    /** Reads a message; empty if it is none. */
+    /** Decodes a message; returns empty if it is malformed or of an unknown format. */
     static Optional<PeerMessage> read(ByteBuf b) {
         if (b.readableBytes() < 2 || b.getByte(b.readerIndex()) != FORMAT) {
             return Optional.empty();
@@ -67,7 +67,7 @@
             Optional<PeerMessage> m = read(kind, b);
             return b.isReadable() ? Optional.empty() : m;
         } catch (IndexOutOfBoundsException e) {
-            Event.of("peer_message").with("kind", kind).with("cause", "cut short").log();
+            Event.of("peer_message").with("kind", kind).with("cause", "truncated").log();
             return Optional.empty();
         }
     }
@@ -78,12 +78,12 @@
             case CONFIG -> Optional.of(new PeerMessage.Config(ConfigCodec.read(b.skipBytes(2))));
             case TARGETS -> Optional.of(readTargets(b.skipBytes(2)));
             case ROWS -> Optional.of(readRows(b.skipBytes(2)));
-            case LEARNED -> Optional.of(readLearned(b.skipBytes(2)));
+            case OBSERVATIONS -> Optional.of(readObservations(b.skipBytes(2)));
             default -> PeerNotice.read(b).map(n -> n);
         };
     }
 
-    private static ByteBuf begin(int kind) {
+    private static ByteBuf newMessage(int kind) {
         return Unpooled.buffer().writeByte(FORMAT).writeByte(kind);
     }
 
@@ -98,37 +98,37 @@
     // ---------------------------------------------------------------- operators
 
     private static ByteBuf writeOperators(PeerMessage.Operators o) {
-        ByteBuf b = begin(OPERATORS);
+        ByteBuf b = newMessage(OPERATORS);
         b.writeLong(o.readAt());
         write(b, o.position());
         b.writeLong(o.version()).writeLong(o.fingerprint());
-        Texts.writeAll(b, o.evacuated());
+        StringCodec.writeAll(b, o.evacuated());
         return b;
     }
 
     private static PeerMessage readOperators(ByteBuf b) {
         return new PeerMessage.Operators(
-                b.readLong(), readPosition(b), b.readLong(), b.readLong(), Texts.readAll(b));
+                b.readLong(), readPosition(b), b.readLong(), b.readLong(), StringCodec.readAll(b));
     }
 
     // ---------------------------------------------------------------- targets
 
     private static ByteBuf writeTargets(TargetNews n) {
-        ByteBuf b = begin(TARGETS);
+        ByteBuf b = newMessage(TARGETS);
         b.writeLong(n.readAt());
         write(b, n.position());
         b.writeLong(n.after());
         b.writeShort(n.more());
         b.writeShort(n.changed().size());
         for (TargetEntry e : n.changed()) {
-            Texts.write(b, e.id());
-            Texts.write(b, e.pool());
-            Texts.write(b, e.address());
-            Texts.write(b, e.domain());
+            StringCodec.write(b, e.id());
+            StringCodec.write(b, e.pool());
+            StringCodec.write(b, e.address());
+            StringCodec.write(b, e.domain());
             b.writeInt(e.slots()).writeBoolean(e.leaving()).writeLong(e.coldMillis());
             b.writeLong(e.born());
         }
-        Texts.writeAll(b, n.removed());
+        StringCodec.writeAll(b, n.removed());
         return b;
     }
 
@@ -141,31 +141,31 @@
         for (int i = b.readUnsignedShort(); i > 0; i--) {
             changed.add(
                     new TargetEntry(
-                            Texts.read(b),
-                            Texts.read(b),
-                            Texts.read(b),
-                            Texts.read(b),
+                            StringCodec.read(b),
+                            StringCodec.read(b),
+                            StringCodec.read(b),
+                            StringCodec.read(b),
                             b.readInt(),
                             b.readBoolean(),
                             b.readLong(),
                             b.readLong()));
         }
         return new PeerMessage.Targets(
-                new TargetNews(readAt, position, after, more, changed, Texts.readAll(b)));
+                new TargetNews(readAt, position, after, more, changed, StringCodec.readAll(b)));
     }
 
     // ---------------------------------------------------------------- rows
 
     private static ByteBuf writeRows(PeerMessage.Rows r) {
-        ByteBuf b = begin(ROWS);
+        ByteBuf b = newMessage(ROWS);
         b.writeLong(r.readAt());
         write(b, r.since());
         write(b, r.until());
-        b.writeBoolean(r.whole());
+        b.writeBoolean(r.complete());
         b.writeShort(r.rows().size());
         for (SharedRow row : r.rows()) {
-            Texts.write(b, row.key());
-            Texts.write(b, row.value());
+            StringCodec.write(b, row.key());
+            StringCodec.write(b, row.value());
             write(b, row.position());
         }
         return b;
@@ -178,15 +178,15 @@
         boolean whole = b.readBoolean();
         List<SharedRow> rows = new ArrayList<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
-            rows.add(new SharedRow(Texts.read(b), Texts.read(b), readPosition(b)));
+            rows.add(new SharedRow(StringCodec.read(b), StringCodec.read(b), readPosition(b)));
         }
         return new PeerMessage.Rows(readAt, since, until, whole, rows);
     }
 
-    // ---------------------------------------------------------------- what was learned
+    // ---------------------------------------------------------------- observations
 
-    private static ByteBuf writeLearned(PeerMessage.Learned l) {
-        ByteBuf b = begin(LEARNED);
+    private static ByteBuf writeObservations(PeerMessage.Observations l) {
+        ByteBuf b = newMessage(OBSERVATIONS);
         b.writeShort(l.loads().size());
         for (LoadReading r : l.loads()) {
             b.writeInt(r.target()).writeShort(r.load()).writeShort(r.ageMillis());
@@ -204,7 +204,7 @@
         return b;
     }
 
-    private static PeerMessage readLearned(ByteBuf b) {
+    private static PeerMessage readObservations(ByteBuf b) {
         List<LoadReading> loads = new ArrayList<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
             loads.add(new LoadReading(b.readInt(), b.readUnsignedShort(), b.readUnsignedShort()));
@@ -221,6 +221,6 @@
         for (int i = b.readUnsignedShort(); i > 0; i--) {
             leaving.add(b.readInt());
         }
-        return new PeerMessage.Learned(loads, holders, crashes, leaving);
+        return new PeerMessage.Observations(loads, holders, crashes, leaving);
     }
 }
--- /dev/null
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerGroup.java
@@ -0,0 +1,126 @@
+package org.forkseam.direct.know;
+
+import io.netty.channel.EventLoop;
+
+import org.forkseam.core.admit.ColdShare;
+import org.forkseam.direct.io.Addresses;
+
+import java.net.InetSocketAddress;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BiConsumer;
+import java.util.random.RandomGenerator;
+
+/** Tracks the other routers and sends them messages. Confined to the event loop. */
+final class PeerGroup {
+    private final PeerChannel mChannel;
+    private final Knowledge.RouterIdentity mSelf;
+    private final RandomGenerator mRandom;
+    private final Map<String, String> mRouters = new LinkedHashMap<>();
+    private List<String> mPeerAddresses = List.of();
+    private long mMessagesSent;
+
+    PeerGroup(
+            EventLoop loop,
+            Knowledge.RouterIdentity self,
+            RandomGenerator random,
+            BiConsumer<PeerMessage, InetSocketAddress> listener) {
+        mChannel = new PeerChannel(loop, listener);
+        mSelf = self;
+        mRandom = random;
+    }
+
+    CompletableFuture<Void> listen() {
+        return mChannel.listen(mSelf.peerAddress());
+    }
+
+    void close() {
+        mChannel.close();
+    }
+
+    // ---------------------------------------------------------------- routers
+
+    String host() {
+        return mSelf.host();
+    }
+
+    /** Returns the address of this router, IP:PORT. */
+    String address() {
+        return mSelf.peerAddressText();
+    }
+
+    /** Adds a router, or updates its address. */
+    void addRouter(String host, String address) {
+        mRouters.put(host, address);
+        refreshPeerAddresses();
+    }
+
+    void removeRouter(String host) {
+        mRouters.remove(host);
+        refreshPeerAddresses();
+    }
+
+    private void refreshPeerAddresses() {
+        mPeerAddresses =
+                mRouters.entrySet().stream()
+                        .filter(e -> !e.getKey().equals(host()))
+                        .map(Map.Entry::getValue)
+                        .toList();
+    }
+
+    /** Returns the number of known routers, at least 1 for this one. */
+    int routerCount() {
+        return Math.max(1, mRouters.size());
+    }
+
+    int peerCount() {
+        return mPeerAddresses.size();
+    }
+
+    /** Returns this router's share of a cold target's capacity among the known routers. */
+    ColdShare shareFor(long targetHash) {
+        return ColdShare.of(host(), mRouters.keySet(), targetHash);
+    }
+
+    /**
+     * Returns whether another router has the lower address; of two routers that poll the same data,
+     * that one continues.
+     */
+    boolean isPrecededBy(InetSocketAddress other) {
+        InetSocketAddress own = mSelf.peerAddress();
+        int byHost =
+                Arrays.compareUnsigned(
+                        other.getAddress().getAddress(), own.getAddress().getAddress());
+        return byHost != 0 ? byHost < 0 : other.getPort() < own.getPort();
+    }
+
+    /** Returns whether this router has the lowest address of all known ones. */
+    boolean isFirst() {
+        return mPeerAddresses.stream().map(Addresses::parse).noneMatch(this::isPrecededBy);
+    }
+
+    // ---------------------------------------------------------------- sending
+
+    /** Sends a message to all other routers; returns false if it is too long for a datagram. */
+    boolean broadcast(PeerMessage m) {
+        mMessagesSent += mPeerAddresses.size();
+        return mChannel.send(m, mPeerAddresses);
+    }
+
+    /** Sends a message to a random other router. */
+    void sendToRandomPeer(PeerMessage m) {
+        if (mPeerAddresses.isEmpty()) {
+            return;
+        }
+        mMessagesSent++;
+        mChannel.send(m, List.of(mPeerAddresses.get(mRandom.nextInt(mPeerAddresses.size()))));
+    }
+
+    /** Returns the number of messages sent since the start. */
+    long messagesSent() {
+        return mMessagesSent;
+    }
+}
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerMessage.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerMessage.java
@@ -13,29 +13,32 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Is what routers tell each other in datagrams. */
+/** Message that routers exchange in datagrams. Immutable. */
 sealed interface PeerMessage
         permits PeerNotice,
                 PeerMessage.Operators,
                 PeerMessage.Config,
                 PeerMessage.Targets,
                 PeerMessage.Rows,
-                PeerMessage.Learned {
-    /** Returns where in the store's history the news were read, if they were read there. */
+                PeerMessage.Observations {
+    /**
+     * Returns the store position at which the content was read; empty if it was not read from the
+     * store.
+     */
     default Optional<StorePosition> storePosition() {
         return Optional.empty();
     }
 
     /**
-     * Tells what operators have written, as it has just been read. Of the configuration only the
-     * version: what changed is told by itself.
+     * Announces the operators' state as just read. Holds only the version of the configuration;
+     * {@link Config} carries its changes.
      *
-     * @param readAt the store's own steady clock when it was read, in milliseconds
-     * @param position in the store's history when it was read
-     * @param version of the configuration
-     * @param fingerprint of the evacuated failure domains
-     * @param evacuated these domains; none if they are too many for a message, which the
-     *     fingerprint then shows
+     * @param readAt the store's steady clock at the read, in milliseconds
+     * @param position store position of the read
+     * @param version version of the configuration
+     * @param fingerprint hash of the evacuated failure domains
+     * @param evacuated these domains; empty if they do not fit into a datagram, which the
+     *     fingerprint reveals
      */
     record Operators(
             long readAt,
@@ -44,7 +47,6 @@
             long fingerprint,
             List<String> evacuated)
             implements PeerMessage {
-        /** Returns when it was read. */
         StoreTime readTime() {
             return StoreTime.of(position.era(), readAt);
         }
@@ -54,28 +56,28 @@
             return Optional.of(position);
         }
 
-        /** Returns whether the message holds all evacuated domains. */
-        boolean isWhole() {
+        /** Returns whether the message lists all evacuated domains. */
+        boolean isComplete() {
             return Evacuations.fingerprint(evacuated) == fingerprint;
         }
 
-        /** Returns the same message without the domains. */
+        /** Returns a copy without the domains. */
         Operators withoutDomains() {
             return new Operators(readAt, position, version, fingerprint, List.of());
         }
     }
 
     /**
-     * Tells what a newer configuration changed.
+     * Carries the changes of a newer configuration.
      *
-     * @param change the change
+     * @param change the changes
      */
     record Config(ConfigChange change) implements PeerMessage {}
 
     /**
-     * Tells what a newer list of targets changed, and that it has just been read.
+     * Carries the changes of a newer list of targets, just read.
      *
-     * @param news the change, or a step of it
+     * @param news the changes, or a part of them
      */
     record Targets(TargetNews news) implements PeerMessage {
         @Override
@@ -85,55 +87,55 @@
     }
 
     /**
-     * Tells of shared rows, and that they have just been read.
+     * Carries changed shared rows, either just read or just written.
      *
-     * @param readAt the store's own steady clock when they were read, in milliseconds
-     * @param since whoever knows the rows as of this position, or of a later one of its era, misses
-     *     nothing; if the store has come back since, only whoever knows just this
-     * @param until the position that is known with this message; {@link StorePosition#NONE} if its
-     *     sender tells of a row that it has written
-     * @param whole whether all rows that changed in between are here; else they are to be read
-     * @param rows those that changed
+     * @param readAt the store's steady clock at the read, in milliseconds
+     * @param since a receiver that knows the rows at this position, or a later one of its era,
+     *     misses nothing; after a restore of the store, only a receiver at exactly this position
+     * @param until position known after this message; {@link StorePosition#NONE} if the sender
+     *     wrote the row
+     * @param complete whether all rows that changed in between are included; otherwise the receiver
+     *     has to read them
+     * @param rows the changed rows
      */
     record Rows(
             long readAt,
             StorePosition since,
             StorePosition until,
-            boolean whole,
+            boolean complete,
             List<SharedRow> rows)
             implements PeerMessage {
-        /** Tells of a row that was just written. */
-        static Rows written(SharedRow row) {
+        /** Returns the message that announces a row just written. */
+        static Rows ofWrite(SharedRow row) {
             return new Rows(0, StorePosition.NONE, StorePosition.NONE, true, List.of(row));
         }
 
-        /** Returns whether its sender has written the row. */
-        boolean isWritten() {
+        /** Returns whether the sender wrote the row rather than read it. */
+        boolean isWriteNotice() {
             return until.equals(StorePosition.NONE);
         }
 
-        /** Returns when the rows were read. */
         StoreTime readTime() {
             return StoreTime.of(until.era(), readAt);
         }
 
         @Override
         public Optional<StorePosition> storePosition() {
-            return isWritten()
+            return isWriteNotice()
                     ? rows.stream().map(SharedRow::position).findFirst()
                     : Optional.of(until);
         }
     }
 
     /**
-     * Tells what a router has learned of targets.
+     * Carries observations from targets' responses.
      *
-     * @param loads what targets told of their load, the newest readings
-     * @param holders which have read a prompt that their seats do not tell of
-     * @param crashes which have ended, and what they had
-     * @param leaving which starts of targets have said that they leave, by their short hashes
+     * @param loads newest load readings
+     * @param holders targets that have processed a prompt, where the seats do not imply it
+     * @param crashes crashes of targets and the requests they were processing
+     * @param leaving short hashes of the starts of targets that have announced to leave
      */
-    record Learned(
+    record Observations(
             List<LoadReading> loads,
             List<HolderFact> holders,
             List<CrashFact> crashes,
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerNotice.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerNotice.java
@@ -10,17 +10,17 @@
 import java.util.Optional;
 
 /**
- * Tells other routers what one has just read from the store, in a datagram. Whoever knows the same
- * need not read it again; whoever does not reads at once.
+ * Announces what a router has just read from the store. Receivers with the same state skip their
+ * own read; others read at once. Immutable.
  *
- * @param kind what was read
- * @param readAt when it was read
- * @param fingerprint a hash of what was read
+ * @param kind kind of data
+ * @param readAt time of the read
+ * @param fingerprint hash of the data
  */
 record PeerNotice(Kind kind, StoreTime readAt, long fingerprint) implements PeerMessage {
     private static final int BYTES = 2 + Integer.BYTES + 2 * Long.BYTES;
 
-    /** Says what was read. */
+    /** Kind of data that was read. */
     enum Kind {
         /** The list of targets. */
         LIST(1);
@@ -50,7 +50,7 @@
                 .writeLong(fingerprint);
     }
 
-    /** Reads a datagram; empty if it is not of this format. */
+    /** Decodes a datagram; returns empty if it is of another format. */
     static Optional<PeerNotice> read(ByteBuf b) {
         if (b.readableBytes() != BYTES || b.readByte() != PeerCodec.FORMAT) {
             return Optional.empty();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerSnapshot.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerSnapshot.java
@@ -20,18 +20,18 @@
 import java.util.OptionalInt;
 
 /**
- * Holds what one router knows, as it tells it to another that has just started and cannot reach the
- * store.
+ * State of one router, sent as JSON to another that has just started and cannot reach the store.
+ * Immutable.
  *
- * @param version of the configuration
- * @param routes of the configuration
- * @param pools of the configuration
- * @param teams of the configuration, by key
- * @param limits of the configuration
- * @param listPosition of the list of targets in the store's history
- * @param targets the list
- * @param rows those that routers share, with the seats of engine pools
- * @param evacuations failure domains that get no new work
+ * @param version version of the configuration
+ * @param routes routes of the configuration
+ * @param pools pools of the configuration
+ * @param teams teams of the configuration, by key
+ * @param limits caller limits of the configuration
+ * @param listPosition store position of the list of targets
+ * @param targets the list of targets
+ * @param rows rows that routers share, including the seats of engine pools
+ * @param evacuations evacuated failure domains
  */
 record PeerSnapshot(
         long version,
@@ -47,9 +47,9 @@
     private static final int NO_PRIORITY = -1;
 
     /**
-     * Holds the evacuated failure domains.
+     * Evacuated failure domains.
      *
-     * @param position in the store's history that they are known of
+     * @param position store position at which they are known
      * @param domains their names
      */
     record KnownEvacuations(StorePosition position, List<String> domains) {
@@ -59,11 +59,11 @@
     }
 
     /**
-     * Holds a team in a form that the JSON library writes.
+     * JSON form of a team.
      *
-     * @param name the team's name
-     * @param priority its rank, or -1
-     * @param homes its regions
+     * @param name name of the team
+     * @param priority its priority, or -1 for none
+     * @param homes its home regions
      */
     record KeyTeam(String name, int priority, List<String> homes) {}
 
@@ -112,11 +112,10 @@
         try {
             return new ObjectMapper().writeValueAsBytes(this);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a snapshot holds plain values only", e);
+            throw new IllegalStateException("cannot serialize peer snapshot", e);
         }
     }
 
-    /** Reads a snapshot; fails if it is malformed. */
     static PeerSnapshot read(byte[] json) throws IOException {
         return new ObjectMapper().readValue(json, PeerSnapshot.class);
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
@@ -16,67 +16,63 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Keeps requests under which targets end from further targets, on all routers. Used on the event
- * loop.
+ * Refuses, on all routers, requests that crash the targets which process them. Confined to the
+ * event loop.
  *
- * <p>A request that ends each target that runs it would otherwise end the whole pool, since it
- * comes again at any router under a new id. Each router tells the others which targets ended under
- * which requests; whoever knows of three ends refuses the request at once, and writes a row that
- * outlasts all routers. The news goes with the loads, from router to router at random, so that an
- * end costs the fleet messages by the number of routers, not by its square.
+ * <p>Such a request would otherwise take down the whole pool, since clients retry it at any router
+ * under a new id. Routers exchange which targets crashed under which requests, by gossip, so that
+ * the number of messages grows linearly with the number of routers. A router that knows of three
+ * crashes refuses the request at once and writes a shared row that outlives all routers.
  *
- * <p>An answer acquits: a request that ends its targets never gets one. Copies of one request that
- * were under way beside three ends of another cause had it refused for ten minutes, although the
- * other copies were answered right after. So an answer releases a request whatever was counted
- * against it before, here at once and on the other routers with the news and the row.
+ * <p>An answered request is acquitted, whatever was counted against it before: copies of a harmless
+ * request may have been in flight during three crashes of another cause. The release takes effect
+ * locally at once, and on the other routers by messages and the row.
  *
  * @since 0.5
  */
 public final class Quarantine extends FollowerBase {
     /**
-     * Routers that learn of a third end write the row at a random moment of a span that grows with
-     * their number, so that a few of them write it; the one that saw the end writes at once. The
-     * longest span is half of the time in which all routers in touch with the store are to refuse.
-     * Unit: milliseconds.
+     * Maximum random delay before a router that learned of a conviction from others writes its row,
+     * so that only a few write it; the router that observed the last crash writes at once. Half of
+     * the time within which all connected routers have to refuse.
      */
-    private static final long MAX_WRITE_SPREAD_MILLIS = 1_500;
+    private static final long MAX_WRITE_JITTER_MILLIS = 1_500;
 
-    /** Rows whose time is over are looked for so often. Unit: milliseconds. */
-    private static final long SWEEP_MILLIS = 60_000;
+    private static final long SWEEP_PERIOD_MILLIS = 60_000;
 
     private final RowFollower mFollower;
     private final QuarantineRows mRows;
-    private final CrashWarnings mWarnings;
+    private final SuspectRows mSuspectRows;
     private final CrashSuspects mSuspects = CrashSuspects.create();
-    private final FactExchange<CrashFact> mNews =
+    private final FactExchange<CrashFact> mCrashExchange =
             FactExchange.of(CrashFact.MAX_FACTS, f -> mSuspects.crashes(f.content()));
     private int mWriteFailures;
 
-    /** Says what to do with a request. */
+    /** Decision on a request. */
     public enum Verdict {
-        /** It is served as any other. */
+        /** The request is served. */
         SERVE,
-        /** It is refused: targets end under it. */
+        /** The request is refused because it crashes targets. */
         REFUSE,
-        /** Its term is over: this router may ask to try it once. */
+        /** The term of the request has ended: this router may ask for a single trial. */
         TRY
     }
 
-    /** Creates one that knows nothing yet; terms are told by the clock of the rows' store. */
-    Quarantine(Surroundings around, SharedRows rows, RowFollower follower) {
-        super(around);
+    /** Creates an empty quarantine; terms are measured on the clock of the store. */
+    Quarantine(Context context, SharedRows rows, RowFollower follower) {
+        super(context);
         mFollower = follower;
         mRows = new QuarantineRows(rows, follower);
-        mWarnings = new CrashWarnings(rows, follower::storeMillis);
+        mSuspectRows = new SuspectRows(rows, follower::storeMillis);
     }
 
     void start() {
-        later(SWEEP_MILLIS + spread(), this::sweep);
+        schedule(SWEEP_PERIOD_MILLIS + jitterMillis(), this::sweep);
     }
 
-    // ---------------------------------------------------------------- use
+    // ---------------------------------------------------------------- decisions
 
-    /** Returns what to do with a request. */
+    /** Returns the decision on a request. */
     public Verdict verdict(long content) {
         Optional<QuarantineTerm> term = mRows.term(content);
         if (term.isEmpty()) {
@@ -87,23 +83,23 @@
         return isOver ? Verdict.TRY : Verdict.REFUSE;
     }
 
-    /** Returns after how many milliseconds a refused caller should come back. */
-    public long backInMillis(long content) {
+    /** Returns the time after which a refused caller should retry, in milliseconds. */
+    public long retryAfterMillis(long content) {
         long now = mFollower.storeMillis().orElse(0);
         QuarantineTerm term = mRows.term(content).orElse(QuarantineTerm.first(now));
         return Math.max(1, term.leftMillis(now));
     }
 
-    /** Asks to send a request once whose term is over; of all routers, one may at a time. */
-    public CompletableFuture<Boolean> askToTry(long content) {
+    /** Requests the trial of a request whose term has ended; one router at a time is granted it. */
+    public CompletableFuture<Boolean> requestTrial(long content) {
         Optional<QuarantineTerm> term = mRows.term(content);
         OptionalLong now = mFollower.storeMillis();
         if (term.isEmpty() || now.isEmpty()) {
-            return CompletableFuture.completedFuture(false); // changed meanwhile
+            return CompletableFuture.completedFuture(false); // row or clock unknown
         }
-        QuarantineTerm tried = term.get().tried(now.getAsLong(), link().host());
+        QuarantineTerm tried = term.get().tried(now.getAsLong(), peers().host());
         return mRows.write(content, tried)
-                .exceptionally(e -> false) // logged where it failed
+                .exceptionally(e -> false) // logged by the callee
                 .whenComplete(
                         (granted, e) ->
                                 Event.always("quarantine_trial")
@@ -112,161 +108,167 @@
                                         .log());
     }
 
-    /** Notes how the trial of a request ended that this router was allowed. */
+    /** Records the outcome of a trial that was granted to this router. */
     public void onTrialEnded(long content, boolean answered) {
         Optional<QuarantineTerm> term = mRows.term(content);
         OptionalLong now = mFollower.storeMillis();
         if (term.isPresent() && now.isPresent()) {
             QuarantineTerm next =
                     answered ? QuarantineTerm.released() : term.get().doubled(now.getAsLong());
-            mRows.write(content, next); // if it fails, another trial follows
+            mRows.write(content, next); // after a failure another trial follows
         }
     }
 
-    /** Notes that a request's target ended, as this router saw. */
+    /** Records a crash of a target, observed by this router, while it was processing a request. */
     public void onCrash(long content, int crash) {
         CrashFact fact = new CrashFact(content, crash);
-        if (suspect(fact)) {
-            mNews.add(fact);
-            onSuspected(content, true);
+        if (recordCrash(fact)) {
+            mCrashExchange.add(fact);
+            onCrashRecorded(content, true);
         }
     }
 
-    /** Notes that a target has answered a request. */
+    /** Records that a target has answered a request. */
     public void onAnswered(long content) {
         acquit(content, true);
     }
 
     /**
-     * Takes it in that a target has answered a request; tells it on only if something was held
-     * against the request.
+     * Acquits an answered request. Announced to other routers only if the request was suspect or
+     * refused.
      */
-    private void acquit(long content, boolean sawIt) {
+    private void acquit(long content, boolean observedHere) {
         boolean wasSuspect = mSuspects.onAnswered(content, now());
         boolean wasRefused = mRows.term(content).isPresent();
         if (!wasSuspect && !wasRefused) {
             return;
         }
-        if (sawIt) {
-            mNews.removeIf(f -> f.content() == content);
+        if (observedHere) {
+            mCrashExchange.removeIf(f -> f.content() == content);
         }
-        mNews.add(CrashFact.answered(content));
+        mCrashExchange.add(CrashFact.answered(content));
         if (wasRefused) {
-            release(content, sawIt);
+            release(content, observedHere);
         }
     }
 
-    /** Returns whether a request is refused once one more target ends under it. */
-    public boolean isLastCrashAllowed(long content) {
+    /** Returns whether one more crash leads to the refusal of a request. */
+    public boolean isOneCrashFromConviction(long content) {
         return mSuspects.crashes(content) == CrashSuspects.CRASHES_TO_CONVICT - 1;
     }
 
-    /** Returns the refused requests, and for how many milliseconds more. */
+    /** Returns the refused requests with their remaining time in milliseconds. */
     Map<String, Long> dump() {
         return mRows.dump(mFollower.storeMillis().orElse(0));
     }
 
-    /** Returns the number of requests that rows refuse. */
+    /** Returns the number of cached quarantine rows. */
     public int refused() {
         return mRows.size();
     }
 
-    /** Returns the number of requests under which a target has ended, without the refused ones. */
+    /** Returns the number of requests with at least one crash, without the refused ones. */
     int suspects() {
         return mSuspects.size();
     }
 
     // ---------------------------------------------------------------- other routers
 
-    /** Returns what another router should be told. */
-    List<CrashFact> news() {
-        return mNews.digest();
+    /** Returns the crashes and answers to send to another router. */
+    List<CrashFact> digest() {
+        return mCrashExchange.digest();
     }
 
-    /** Takes in what another router has learned. */
-    void take(List<CrashFact> facts) {
+    /** Applies another router's crashes and answers. */
+    void apply(List<CrashFact> facts) {
         for (CrashFact f : facts) {
             if (f.isAnswered()) {
                 acquit(f.content(), false);
-            } else if (suspect(f)) {
-                mNews.add(f);
-                onSuspected(f.content(), false);
+            } else if (recordCrash(f)) {
+                mCrashExchange.add(f);
+                onCrashRecorded(f.content(), false);
             }
         }
     }
 
-    /** Counts an end of a target, and returns whether it was news. */
-    private boolean suspect(CrashFact f) {
+    /** Records a crash and returns whether it was new. */
+    private boolean recordCrash(CrashFact f) {
         return mRows.term(f.content()).isEmpty() && mSuspects.take(f, now());
     }
 
-    private void onSuspected(long content, boolean sawIt) {
+    private void onCrashRecorded(long content, boolean observedHere) {
         if (mSuspects.isConvicted(content)) {
-            onConvicted(content, sawIt);
-        } else if (sawIt && isLastCrashAllowed(content)) {
-            mWarnings.write(content, mSuspects.of(content));
+            onConvicted(content, observedHere);
+        } else if (observedHere && isOneCrashFromConviction(content)) {
+            mSuspectRows.write(content, mSuspects.of(content));
         }
     }
 
-    private void onConvicted(long content, boolean sawIt) {
+    private void onConvicted(long content, boolean observedHere) {
         Event.always("request_convicted")
                 .with("content", Hashes.text(content))
                 .with("crashes", mSuspects.crashes(content))
-                .with("saw_last", sawIt)
+                .with("saw_last", observedHere)
                 .log();
-        later(writePause(sawIt), () -> writeFirst(content));
+        schedule(writeDelayMillis(observedHere), () -> writeConviction(content));
     }
 
-    /** Returns how long to wait for another router to write a row that this one need not. */
-    private long writePause(boolean sawIt) {
-        return sawIt ? 0 : spreadOverRouters(MAX_WRITE_SPREAD_MILLIS);
+    /** Returns the delay before writing a row, within which another router may have written it. */
+    private long writeDelayMillis(boolean observedHere) {
+        return observedHere ? 0 : fleetJitterMillis(MAX_WRITE_JITTER_MILLIS);
     }
 
-    /** Serves a request again here, and has the row say so on all routers. */
-    private void release(long content, boolean sawIt) {
+    /**
+     * Releases a request on this router and schedules the write of the row that releases it on all
+     * routers.
+     */
+    private void release(long content, boolean observedHere) {
         Event.always("request_acquitted")
                 .with("content", Hashes.text(content))
-                .with("saw_answer", sawIt)
+                .with("saw_answer", observedHere)
                 .log();
-        mRows.releaseHere(content);
-        later(writePause(sawIt), () -> writeReleased(content));
+        mRows.releaseLocally(content);
+        schedule(writeDelayMillis(observedHere), () -> writeRelease(content));
     }
 
     // ---------------------------------------------------------------- rows
 
-    /** Takes in a row that changed. */
-    void take(SharedRow row) {
-        mWarnings.take(row).forEach(this::takeWarning);
-        mRows.take(row).ifPresent(this::onChange);
+    /** Applies a changed row. */
+    void apply(SharedRow row) {
+        mSuspectRows.apply(row).forEach(this::applySuspect);
+        mRows.apply(row).ifPresent(this::onChange);
     }
 
-    /** All read the row that warns, so that it is not passed on. */
-    private void takeWarning(CrashFact f) {
-        if (suspect(f)) {
-            onSuspected(f.content(), false);
+    /**
+     * Applies a crash from a row. Not passed on to other routers, which read the row themselves.
+     */
+    private void applySuspect(CrashFact f) {
+        if (recordCrash(f)) {
+            onCrashRecorded(f.content(), false);
         }
     }
 
     private void onChange(QuarantineRows.Change c) {
-        mNews.removeIf(f -> f.content() == c.content() && !f.isAnswered()); // all read the row
+        mCrashExchange.removeIf(
+                f -> f.content() == c.content() && !f.isAnswered()); // all read the row
         mSuspects.forget(c.content());
         Event.always("quarantine")
                 .with("content", Hashes.text(c.content()))
                 .with("term_ms", c.term().map(QuarantineTerm::termMillis).orElse(0L))
                 .log();
         if (mRows.term(c.content()).isPresent() && mSuspects.wasAnswered(c.content(), now())) {
-            release(c.content(), false); // the row and the answer have crossed
+            release(c.content(), false); // the answer preceded the row
         }
     }
 
-    /** Writes the first row of a convicted request, unless another router has. */
-    private void writeFirst(long content) {
+    /** Writes the row of a convicted request unless another router has done so. */
+    private void writeConviction(long content) {
         if (isStopped() || !mSuspects.isConvicted(content)) {
             return;
         }
         OptionalLong now = mFollower.storeMillis();
         if (now.isEmpty()) {
-            writeAgain(content);
+            retryWriteConviction(content);
             return;
         }
         mRows.write(content, QuarantineTerm.first(now.getAsLong()))
@@ -275,38 +277,40 @@
                             if (failure == null) {
                                 mWriteFailures = 0;
                             } else {
-                                writeAgain(content);
+                                retryWriteConviction(content);
                             }
                         });
     }
 
-    /** Has the row of an answered request say that it is served, unless another router has. */
-    private void writeReleased(long content) {
-        if (isStopped() || !mRows.isReleasedHereOnly(content)) {
+    /** Writes the release of an answered request unless another router has done so. */
+    private void writeRelease(long content) {
+        if (isStopped() || !mRows.isReleasePending(content)) {
             return;
         }
         mRows.write(content, QuarantineTerm.released())
                 .whenComplete(
                         (own, failure) -> {
-                            if (mRows.isReleasedHereOnly(content)) {
-                                later(pauseAfter(++mWriteFailures), () -> writeReleased(content));
+                            if (mRows.isReleasePending(content)) {
+                                schedule(
+                                        backoffMillis(++mWriteFailures),
+                                        () -> writeRelease(content));
                             }
                         });
     }
 
-    private void writeAgain(long content) {
-        later(pauseAfter(++mWriteFailures), () -> writeFirst(content));
+    private void retryWriteConviction(long content) {
+        schedule(backoffMillis(++mWriteFailures), () -> writeConviction(content));
     }
 
-    /** Removes the rows of which nobody has use any more; one router does it for all. */
+    /** Removes expired rows; only the router that reads the rows for all does so. */
     private void sweep() {
         if (isStopped()) {
             return;
         }
-        later(SWEEP_MILLIS + spread(), this::sweep);
+        schedule(SWEEP_PERIOD_MILLIS + jitterMillis(), this::sweep);
         if (mFollower.isReader() && mFollower.storeMillis().isPresent()) {
             mRows.sweep(mFollower.storeMillis().getAsLong());
-            mWarnings.sweep();
+            mSuspectRows.sweep();
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
@@ -17,38 +17,36 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Keeps the rows of refused requests, a row a content, as all routers know them. Used on the event
+ * Reads, writes and caches the quarantine rows, one per request content. Confined to the event
  * loop.
  */
 final class QuarantineRows {
-    private static final ContentKey ROW = new ContentKey("quarantine/");
+    private static final RowKeyPrefix ROW_KEY = new RowKeyPrefix("quarantine/");
 
-    /**
-     * Rows written at most, some 120 bytes each, so that a flood of different requests fills
-     * neither the store nor the routers; each of them has ended three targets.
-     */
+    /** Bounds the rows in the store if many different requests crash targets. */
     private static final int MAX_ROWS = 256;
 
-    /** Rows remembered: several routers may write the last few at once. */
-    private static final int MAX_KNOWN = 2 * MAX_ROWS;
+    /** Cached rows; several routers may exceed the bound in the store by concurrent writes. */
+    private static final int MAX_CACHED_ROWS = 2 * MAX_ROWS;
 
     private final SharedRows mRows;
     private final RowFollower mFollower;
-    private final Map<Long, Row> mKnown = BoundedMap.byInsertion(MAX_KNOWN);
-    private final Set<Long> mWriting = new HashSet<>();
+    private final Map<Long, Row> mCache = BoundedMap.byInsertion(MAX_CACHED_ROWS);
+    private final Set<Long> mPendingWrites = new HashSet<>();
 
     /**
-     * Holds a term, and where its row was written.
+     * A term and the position of its row.
      *
-     * @param ahead whether this router has released the request, and the row does not say so yet
+     * @param releasePending whether this router has released the request and the row does not yet
+     *     say so
      */
-    private record Row(QuarantineTerm term, StorePosition position, boolean ahead) {}
+    private record Row(QuarantineTerm term, StorePosition position, boolean releasePending) {}
 
     /**
-     * Says what a row that changed holds.
+     * Change of a row.
      *
      * @param content hash of what the request asks for
-     * @param term empty if the row vanished
+     * @param term empty if the row was removed
      */
     record Change(long content, Optional<QuarantineTerm> term) {}
 
@@ -57,89 +55,90 @@
         mFollower = follower;
     }
 
-    // ---------------------------------------------------------------- what is known
+    // ---------------------------------------------------------------- cache
 
-    /** Returns what holds for a request that a row names and has not released. */
+    /** Returns the term of a request that is not released; empty if it has none. */
     Optional<QuarantineTerm> term(long content) {
-        return Optional.ofNullable(mKnown.get(content)).map(Row::term).filter(t -> !t.isReleased());
+        return Optional.ofNullable(mCache.get(content)).map(Row::term).filter(t -> !t.isReleased());
     }
 
-    /**
-     * Lets a request be served at once, before the row that releases it is written: until its row
-     * changes.
-     */
-    void releaseHere(long content) {
-        mKnown.computeIfPresent(
+    /** Releases a request on this router until its row changes, before the release is written. */
+    void releaseLocally(long content) {
+        mCache.computeIfPresent(
                 content, (c, row) -> new Row(QuarantineTerm.released(), row.position(), true));
     }
 
-    /** Returns whether a request is served here although its row still refuses it. */
-    boolean isReleasedHereOnly(long content) {
-        Row row = mKnown.get(content);
-        return row != null && row.ahead();
+    /** Returns whether a request is released on this router but its row still refuses it. */
+    boolean isReleasePending(long content) {
+        Row row = mCache.get(content);
+        return row != null && row.releasePending();
     }
 
-    /** Returns the number of rows known. */
     int size() {
-        return mKnown.size();
+        return mCache.size();
     }
 
-    /** Returns the refused requests, and for how many milliseconds more. */
+    /** Returns the refused requests with their remaining time in milliseconds. */
     Map<String, Long> dump(long storeMillis) {
         Map<String, Long> m = new TreeMap<>();
-        mKnown.forEach((c, r) -> m.put(Hashes.text(c), r.term().leftMillis(storeMillis)));
+        mCache.forEach((c, r) -> m.put(Hashes.text(c), r.term().leftMillis(storeMillis)));
         return m;
     }
 
-    /** Takes in a row that changed; empty if it is none of a refused request, or malformed. */
-    Optional<Change> take(SharedRow row) {
-        if (!ROW.isOf(row.key())) {
+    /**
+     * Applies a changed row; returns empty if it is of another kind, malformed or already known.
+     */
+    Optional<Change> apply(SharedRow row) {
+        if (!ROW_KEY.matches(row.key())) {
             return Optional.empty();
         }
-        Optional<Long> content = ROW.content(row.key());
+        Optional<Long> content = ROW_KEY.contentOf(row.key());
         Optional<QuarantineTerm> term = QuarantineTerm.read(row.value());
         if (content.isEmpty() || row.exists() && term.isEmpty()) {
             Event.of("quarantine_row_malformed").with("row", row.key()).log();
             return Optional.empty();
         }
-        if (isKnown(content.get(), row.position())) {
-            return Optional.empty(); // told once more, and perhaps released here meanwhile
+        if (isCached(content.get(), row.position())) {
+            return Optional.empty(); // a repeated row must not undo a local release
         }
         if (term.isEmpty()) {
-            mKnown.remove(content.get()); // by an operator, or by a router after its time
+            mCache.remove(content.get()); // by an operator, or by a router after its expiry
         } else {
-            mKnown.put(content.get(), new Row(term.get(), row.position(), false));
+            mCache.put(content.get(), new Row(term.get(), row.position(), false));
         }
         return Optional.of(new Change(content.get(), term));
     }
 
-    private boolean isKnown(long content, StorePosition position) {
-        Row known = mKnown.get(content);
+    private boolean isCached(long content, StorePosition position) {
+        Row known = mCache.get(content);
         return known != null && known.position().equals(position);
     }
 
     // ---------------------------------------------------------------- writing
 
     /**
-     * Writes a term unless another router has written meanwhile; fails if no usable answer came.
-     * One write of a content is under way at a time.
+     * Writes a term unless another router has changed the row; the future fails if the store gave
+     * no usable response. At most one write per content is in flight.
      *
-     * @return whether the row holds this term now
+     * @return whether the row now holds this term
      */
     CompletableFuture<Boolean> write(long content, QuarantineTerm term) {
-        if (!mWriting.add(content)) {
+        if (!mPendingWrites.add(content)) {
             return CompletableFuture.completedFuture(false);
         }
-        makeRoom(content);
-        StorePosition expected = mFollower.position(ROW.of(content));
-        return mRows.compareAndSet(ROW.of(content), term.write(), expected)
-                .whenComplete((row, failure) -> mWriting.remove(content))
+        evictIfFull(content);
+        StorePosition expected = mFollower.position(ROW_KEY.keyOf(content));
+        return mRows.compareAndSet(ROW_KEY.keyOf(content), term.write(), expected)
+                .whenComplete((row, failure) -> mPendingWrites.remove(content))
                 .whenComplete((row, failure) -> logFailure(content, failure))
-                .thenApply(row -> takeWritten(row, row.value().equals(term.write())));
+                .thenApply(row -> applyWritten(row, row.value().equals(term.write())));
     }
 
-    /** Takes in the row after a write; another router's row is told by that one. */
-    private boolean takeWritten(SharedRow row, boolean isOwn) {
+    /**
+     * Applies the row after a write. Only an own row is broadcast; its writer broadcasts another
+     * one.
+     */
+    private boolean applyWritten(SharedRow row, boolean isOwn) {
         if (isOwn) {
             mFollower.onWritten(row);
         } else {
@@ -148,21 +147,21 @@
         return isOwn;
     }
 
-    private void makeRoom(long content) {
-        if (mKnown.size() >= MAX_ROWS && !mKnown.containsKey(content)) {
-            remove(mKnown.keySet().iterator().next());
+    private void evictIfFull(long content) {
+        if (mCache.size() >= MAX_ROWS && !mCache.containsKey(content)) {
+            remove(mCache.keySet().iterator().next());
         }
     }
 
     private void remove(long content) {
-        mKnown.remove(content);
-        mRows.remove(ROW.of(content))
-                .exceptionally(e -> RowFollower.logNotWritten(ROW.of(content), e));
+        mCache.remove(content);
+        mRows.remove(ROW_KEY.keyOf(content))
+                .exceptionally(e -> RowFollower.logWriteFailure(ROW_KEY.keyOf(content), e));
     }
 
-    /** Removes the rows that nobody has asked for in a whole term. */
+    /** Removes the rows whose terms have expired. */
     void sweep(long storeMillis) {
-        for (Map.Entry<Long, Row> e : List.copyOf(mKnown.entrySet())) {
+        for (Map.Entry<Long, Row> e : List.copyOf(mCache.entrySet())) {
             if (e.getValue().term().isOver(storeMillis)) {
                 remove(e.getKey());
             }
@@ -171,7 +170,7 @@
 
     private static void logFailure(long content, Throwable failure) {
         if (failure != null) {
-            RowFollower.logNotWritten(ROW.of(content), failure);
+            RowFollower.logWriteFailure(ROW_KEY.keyOf(content), failure);
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
@@ -16,58 +16,55 @@
 import java.util.function.Consumer;
 
 /**
- * Follows the rows that routers share. One router waits for changes and tells the others the rows
- * that changed. Used on the event loop.
- *
- * <p>When every router waited for itself, each row that one wrote at its start woke all others.
- * With changes of the list told as well, 33 routers made 501 calls in place of 1,643 on a day of 53
- * seconds with few changes, and 2,528 in place of 5,237 on one with many.
+ * Follows the rows that routers share. One router long-polls the store and broadcasts changed rows;
+ * if each router polled, every change would cause a response to every router. Confined to the event
+ * loop.
  */
 final class RowFollower extends FollowerBase {
-    /** Names the rows by which routers know each other; a host's name follows. */
-    static final String ROUTER = "router/";
+    /** Key prefix of the registration rows of routers, followed by the host name. */
+    static final String ROUTER_PREFIX = "router/";
 
-    /** A wait is begun anew after so long, so that a lost one is noticed. Unit: milliseconds. */
-    private static final long WAIT_MILLIS = 2_000;
+    /** Duration of a long poll; a lost one is repeated after it. */
+    private static final long LONG_POLL_MILLIS = 2_000;
 
-    /** The router that waits is heard after each wait; this allows for a slow answer. */
-    private static final long HEARD_MILLIS = WAIT_MILLIS + 500;
+    /** The polling router is heard after each poll; the margin covers a slow response. */
+    private static final long READER_TIMEOUT_MILLIS = LONG_POLL_MILLIS + 500;
 
-    /** Rows that change within such a span are read together. Unit: milliseconds. */
-    private static final long GATHER_MILLIS = 100;
+    /** Changes within this time are read together. */
+    private static final long BATCH_MILLIS = 100;
 
     private final SharedRows mRows;
     private final Consumer<SharedRow> mListener;
-    private final ReaderRole mRole = ReaderRole.of(HEARD_MILLIS);
+    private final ReaderRole mRole = ReaderRole.of(READER_TIMEOUT_MILLIS);
     private final RowTable mTable = new RowTable();
     private final RowRestorer mRestorer;
     private StorePosition mPosition = StorePosition.NONE;
-    private boolean mRead;
+    private boolean mHasRead;
     private int mFailures;
-    private OptionalLong mStoreAhead = OptionalLong.empty();
+    private OptionalLong mStoreClockOffset = OptionalLong.empty();
     private int mClockEra;
     private boolean mCatchingUp;
 
     /**
-     * Creates a follower that knows nothing yet.
+     * Creates a follower without rows.
      *
-     * @param listener is told of each row that changed or vanished, but for those of routers
+     * @param listener receives each changed or removed row, except the registrations of routers
      */
-    RowFollower(Surroundings around, SharedRows rows, Consumer<SharedRow> listener) {
-        super(around);
+    RowFollower(Context context, SharedRows rows, Consumer<SharedRow> listener) {
+        super(context);
         mRows = rows;
         mListener = listener;
-        mRestorer = new RowRestorer(around, rows, mTable, this);
+        mRestorer = new RowRestorer(context, rows, mTable, this);
     }
 
-    /** Returns whether the rows were read from the store. */
-    boolean isRead() {
-        return mRead;
+    /** Returns whether the rows have been read from the store. */
+    boolean hasRead() {
+        return mHasRead;
     }
 
-    /** Returns whether the other routers are known, from the store or from one of them. */
+    /** Returns whether the other routers are known, from the store or a snapshot. */
     boolean knowsRouters() {
-        return mRead || !mTable.isEmpty();
+        return mHasRead || !mTable.isEmpty();
     }
 
     /** Returns whether this router reads the rows for all, as far as it knows. */
@@ -76,41 +73,41 @@
     }
 
     /**
-     * Returns the time by the store's steady clock, which all routers share; empty before the first
-     * read. News that come late, and a host that was suspended, make it too early, never too late.
+     * Returns the estimated time of the store's steady clock, which all routers share; empty before
+     * the first read. Delayed messages and a suspended host make it too early, never too late.
      */
     OptionalLong storeMillis() {
-        return mStoreAhead.isPresent()
-                ? OptionalLong.of(now() + mStoreAhead.getAsLong())
+        return mStoreClockOffset.isPresent()
+                ? OptionalLong.of(now() + mStoreClockOffset.getAsLong())
                 : OptionalLong.empty();
     }
 
-    /** With an era the store's clock may start anew. */
-    private void noteStoreClock(StoreTime readAt) {
+    /** Updates the offset of the store's clock, which may restart with a new era. */
+    private void updateStoreClock(StoreTime readAt) {
         if (readAt.era() < mClockEra) {
             return;
         }
         long ahead = readAt.millis() - now();
-        boolean sameClock = readAt.era() == mClockEra && mStoreAhead.isPresent();
-        mStoreAhead = OptionalLong.of(sameClock ? Math.max(mStoreAhead.getAsLong(), ahead) : ahead);
+        boolean sameClock = readAt.era() == mClockEra && mStoreClockOffset.isPresent();
+        mStoreClockOffset =
+                OptionalLong.of(sameClock ? Math.max(mStoreClockOffset.getAsLong(), ahead) : ahead);
         mClockEra = readAt.era();
     }
 
-    /** Returns all rows known. */
     List<SharedRow> known() {
-        return mTable.known();
+        return mTable.rows();
     }
 
-    /** Returns the position at which the store has a row, for a write on condition. */
+    /** Returns the position of a row in the store, for a conditional write. */
     StorePosition position(String key) {
         return mTable.find(key)
                 .map(SharedRow::position)
                 .orElse(StorePosition.of(mPosition.era(), 0));
     }
 
-    /** Returns whether what is known of the store's rows is of its newest era. */
+    /** Returns whether the rows are of the newest era of the store. */
     boolean isCurrent() {
-        return mRead && mPosition.era() == era().newest();
+        return mHasRead && mPosition.era() == era().newest();
     }
 
     // ---------------------------------------------------------------- life-cycle
@@ -120,69 +117,70 @@
         mRestorer.start();
     }
 
-    /** Removes this router's name, so that the others reckon with one router less. */
+    /** Removes the registration of this router. */
     @Override
     void stop() {
         super.stop();
         mRestorer.stop();
     }
 
-    // ---------------------------------------------------------------- the store
+    // ---------------------------------------------------------------- store
 
-    /** Says whom a return of the store is told to: one router reads and tells it to all. */
-    private enum Telling {
+    /** Recipients of a read after a restore of the store. */
+    private enum Audience {
         ALL,
-        NOBODY
+        NONE
     }
 
     private void readAll() {
         if (!isStopped()) {
-            mRows.readAll().whenComplete(this::onAll);
+            mRows.readAll().whenComplete(this::onReadAll);
         }
     }
 
-    private void onAll(Versioned<List<SharedRow>> read, Throwable failure) {
+    private void onReadAll(Versioned<List<SharedRow>> read, Throwable failure) {
         if (failure != null) {
-            later(pauseAfter(++mFailures), this::readAll);
+            schedule(backoffMillis(++mFailures), this::readAll);
             return;
         }
         mFailures = 0;
-        boolean first = !mRead;
-        takeAll(read, Telling.ALL);
-        mRead = true;
+        boolean first = !mHasRead;
+        applyAll(read, Audience.ALL);
+        mHasRead = true;
         if (first) {
             mRestorer.register();
         }
-        later(GATHER_MILLIS + spread(), this::follow);
+        schedule(BATCH_MILLIS + jitterMillis(), this::follow);
     }
 
-    private void takeAll(Versioned<List<SharedRow>> read, Telling telling) {
-        noteStoreClock(read.readTime());
-        if (!mRead || !read.position().isOfLaterEraThan(mPosition)) {
+    private void applyAll(Versioned<List<SharedRow>> read, Audience audience) {
+        updateStoreClock(read.readTime());
+        if (!mHasRead || !read.position().isOfLaterEraThan(mPosition)) {
             mPosition = StorePosition.newer(mPosition, read.position());
-            read.value().forEach(this::take);
+            read.value().forEach(this::apply);
             return;
         }
         StorePosition since = mPosition;
-        List<SharedRow> differing = mTable.differing(read.value(), read.position().era());
-        turn(since, read.position(), differing, telling == Telling.ALL);
-        if (telling == Telling.ALL) {
-            tell(new PeerMessage.Rows(read.readAt(), since, read.position(), true, differing));
+        List<SharedRow> differing = mTable.diff(read.value(), read.position().era());
+        advanceEra(since, read.position(), differing, audience == Audience.ALL);
+        if (audience == Audience.ALL) {
+            broadcast(new PeerMessage.Rows(read.readAt(), since, read.position(), true, differing));
         }
     }
 
-    /** Waits for changes, unless another router does and tells what changes. */
+    /** Long-polls for changes unless another router does so and broadcasts them. */
     private void follow() {
         if (isStopped()) {
             return;
         }
         long quiet = mRole.quietMillis(now());
         if (quiet > 0) {
-            later(quiet + spread(), this::follow);
+            schedule(quiet + jitterMillis(), this::follow);
             return;
         }
         StorePosition since = mPosition;
-        mRows.awaitChanges(since, WAIT_MILLIS).whenComplete((read, e) -> onChanges(read, e, since));
+        mRows.awaitChanges(since, LONG_POLL_MILLIS)
+                .whenComplete((read, e) -> onChanges(read, e, since));
     }
 
     private void onChanges(
@@ -192,73 +190,78 @@
                         ? !read.position().isOfEraOf(since)
                         : SourceException.isHistoryGone(failure);
         if (otherHistory) {
-            rereadUnlessTold(() -> mPosition, this::follow, this::readAll);
+            rereadUnlessUpdated(() -> mPosition, this::follow, this::readAll);
             return;
         }
         if (failure != null) {
-            later(pauseAfter(++mFailures), this::follow);
+            schedule(backoffMillis(++mFailures), this::follow);
             return;
         }
         mFailures = 0;
-        noteStoreClock(read.readTime());
+        updateStoreClock(read.readTime());
         mPosition = StorePosition.newer(mPosition, read.position());
-        read.value().forEach(this::take);
-        tell(new PeerMessage.Rows(read.readAt(), since, read.position(), true, read.value()));
-        later(GATHER_MILLIS, this::follow);
+        read.value().forEach(this::apply);
+        broadcast(new PeerMessage.Rows(read.readAt(), since, read.position(), true, read.value()));
+        schedule(BATCH_MILLIS, this::follow);
     }
 
-    private void tell(PeerMessage.Rows m) {
-        if (!link().tell(m)) {
-            link().tell(new PeerMessage.Rows(m.readAt(), m.since(), m.until(), false, List.of()));
+    private void broadcast(PeerMessage.Rows m) {
+        if (!peers().broadcast(m)) {
+            peers().broadcast(
+                            new PeerMessage.Rows(
+                                    m.readAt(), m.since(), m.until(), false, List.of()));
         }
     }
 
-    /** Logs that a row could not be written, and stands in for the write's result. */
-    static Void logNotWritten(String row, Throwable e) {
+    /** Logs a failed write; returns null for use as the fallback result of a future. */
+    static Void logWriteFailure(String row, Throwable e) {
         Event.of("shared_row_not_written").with("row", row).with("cause", e.getMessage()).log();
         return null;
     }
 
     // ---------------------------------------------------------------- other routers
 
-    /** Takes a row in that this router has written, and tells it to the others. */
+    /** Applies a row that this router has written and broadcasts it. */
     void onWritten(SharedRow row) {
-        take(row);
+        apply(row);
         if (row.exists()) {
-            tell(PeerMessage.Rows.written(row));
+            broadcast(PeerMessage.Rows.ofWrite(row));
         }
     }
 
-    /** Takes a row in that this router has read. */
+    /** Applies a row that this router has read. */
     void onRead(SharedRow row) {
-        take(row);
+        apply(row);
     }
 
-    /** Takes in what another router tells of the rows. */
+    /** Applies another router's rows. */
     void onMessage(PeerMessage.Rows m, InetSocketAddress sender) {
-        if (m.isWritten()) {
-            m.rows().forEach(this::take);
+        if (m.isWriteNotice()) {
+            m.rows().forEach(this::apply);
             return;
         }
-        noteStoreClock(m.readTime());
-        if (link().goesBefore(sender)) {
+        updateStoreClock(m.readTime());
+        if (peers().isPrecededBy(sender)) {
             mRole.onHeard(now());
         }
-        if (!m.until().isAfter(mPosition) || !mRead) {
+        if (!m.until().isAfter(mPosition) || !mHasRead) {
             return;
         }
-        boolean isReturn = m.until().isOfLaterEraThan(mPosition);
-        if (m.whole() && isReturn && m.since().equals(mPosition)) {
-            turn(m.since(), m.until(), m.rows(), false);
-        } else if (m.whole() && !isReturn && !m.since().isAfter(mPosition)) {
+        boolean isRestore = m.until().isOfLaterEraThan(mPosition);
+        if (m.complete() && isRestore && m.since().equals(mPosition)) {
+            advanceEra(m.since(), m.until(), m.rows(), false);
+        } else if (m.complete() && !isRestore && !m.since().isAfter(mPosition)) {
             mPosition = m.until();
-            m.rows().forEach(this::take);
+            m.rows().forEach(this::apply);
         } else {
             catchUp();
         }
     }
 
-    /** Reads what was missed. */
+    /**
+     * Reads the rows after a gap in the messages, without the polling loop: a second loop would
+     * duplicate its reads.
+     */
     private void catchUp() {
         if (mCatchingUp || isStopped()) {
             return;
@@ -267,83 +270,85 @@
         if (isCurrent()) {
             StorePosition since = mPosition;
             mRows.awaitChanges(since, 0)
-                    .thenCompose(read -> wholeUnless(read.position().isOfEraOf(since), read))
+                    .thenCompose(read -> readAllUnless(read.position().isOfEraOf(since), read))
                     .exceptionallyCompose(e -> mRows.readAll()) // the history may be gone
                     .whenComplete(this::onCaughtUp);
         } else {
-            // All routers may have missed the same: each reads at a moment of its own.
-            later(spreadOverRouters(), () -> mRows.readAll().whenComplete(this::onCaughtUp));
+            // All routers may have the same gap; jitter spreads their reads.
+            schedule(fleetJitterMillis(), () -> mRows.readAll().whenComplete(this::onCaughtUp));
         }
     }
 
-    private CompletableFuture<Versioned<List<SharedRow>>> wholeUnless(
+    private CompletableFuture<Versioned<List<SharedRow>>> readAllUnless(
             boolean follows, Versioned<List<SharedRow>> read) {
         return follows ? CompletableFuture.completedFuture(read) : mRows.readAll();
     }
 
-    /** Leaves a failure to the next message, which finds the same gap. */
+    /**
+     * Applies the rows read after a gap. A failure is not retried here: the next message reveals
+     * the same gap.
+     */
     private void onCaughtUp(Versioned<List<SharedRow>> read, Throwable failure) {
         mCatchingUp = false;
         if (failure != null) {
             Event.of("shared_rows_not_read").with("cause", failure.getMessage()).log();
             return;
         }
-        takeAll(read, Telling.NOBODY);
+        applyAll(read, Audience.NONE);
     }
 
-    /** Takes another router's rows while the store cannot be read. */
+    /** Applies the rows of another router's snapshot unless the store has been read. */
     void onSnapshot(List<SharedRow> rows) {
-        if (!mRead) {
-            rows.forEach(this::take);
+        if (!mHasRead) {
+            rows.forEach(this::apply);
         }
     }
 
-    /** Takes a row in unless a newer state of it is known. */
-    private void take(SharedRow row) {
-        if (mTable.take(row)) {
-            onNews(row);
+    /** Applies a row unless a newer version is known. */
+    private void apply(SharedRow row) {
+        if (mTable.apply(row)) {
+            onRowChanged(row);
         }
     }
 
-    private void onNews(SharedRow row) {
+    private void onRowChanged(SharedRow row) {
         if (isRouter(row)) {
-            takeRouter(row);
+            applyRouter(row);
         } else {
             mListener.accept(row);
         }
     }
 
-    // ---------------------------------------------------------------- a return of the store
+    // ---------------------------------------------------------------- restore of the store
 
     /**
-     * Moves on to a later era.
+     * Moves to a later era.
      *
-     * @param isTeller whether this router has read the rows, and others have not
+     * @param isReader whether this router has read the rows and the others have not
      */
-    private void turn(
-            StorePosition since, StorePosition until, List<SharedRow> differing, boolean isTeller) {
-        mTable.turn(since, until.era(), differing).forEach(this::onNews);
+    private void advanceEra(
+            StorePosition since, StorePosition until, List<SharedRow> differing, boolean isReader) {
+        mTable.advanceEra(since, until.era(), differing).forEach(this::onRowChanged);
         mPosition = until;
         Event.always("shared_rows_returned")
                 .with("since", since)
                 .with("now", until)
                 .with("differing", differing.size())
-                .with("ahead", mTable.ahead().size())
+                .with("ahead", mTable.unsynced().size())
                 .log();
-        mRestorer.onReturn(isTeller);
+        mRestorer.onStoreRestored(isReader);
     }
 
-    /** Returns whether a row names a router. */
     static boolean isRouter(SharedRow row) {
-        return row.key().startsWith(ROUTER);
+        return row.key().startsWith(ROUTER_PREFIX);
     }
 
-    private void takeRouter(SharedRow row) {
-        String host = row.key().substring(ROUTER.length());
+    private void applyRouter(SharedRow row) {
+        String host = row.key().substring(ROUTER_PREFIX.length());
         if (row.value().isEmpty()) {
-            link().remove(host);
+            peers().removeRouter(host);
         } else {
-            link().add(host, row.value());
+            peers().addRouter(host, row.value());
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowRestorer.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowRestorer.java
@@ -6,86 +6,86 @@
 import java.util.Optional;
 
 /**
- * Keeps this router's own row in the store, and writes again what the store has lost by coming back
- * from an older copy. Used on the event loop.
+ * Registers this router in the store, and writes rows again that the store lost when it was
+ * restored from an older copy. Confined to the event loop.
  */
 final class RowRestorer extends FollowerBase {
-    /** A router that the rows do not name writes its own anew after so long. */
-    private static final long REGISTER_MILLIS = 5_000;
+    /** Delay before the registration is checked, or a failed write is retried. */
+    private static final long RETRY_MILLIS = 5_000;
 
-    /** The router that has read the rows writes them again first; the others if it has not. */
-    private static final long OTHERS_WRITE_MILLIS = 1_500;
+    /** Delay of the routers that write lost rows only if the reading router has failed to. */
+    private static final long FALLBACK_WRITE_DELAY_MILLIS = 1_500;
 
-    /** A row that has been written by another is looked at again after so long. */
-    private static final long NEXT_MILLIS = 100;
+    /** Delay before the next row after another router has written one. */
+    private static final long CONFLICT_RETRY_MILLIS = 100;
 
-    /** A router that is cut off from the store may write its row again so late. */
-    private static final long FORGET_ROUTERS_MILLIS = 60_000;
+    /** Routers that have not registered again this long after a restore are removed. */
+    private static final long ROUTER_EXPIRY_MILLIS = 60_000;
 
     private final SharedRows mRows;
     private final RowTable mTable;
     private final RowFollower mFollower;
     private boolean mWriting;
 
-    RowRestorer(Surroundings around, SharedRows rows, RowTable table, RowFollower follower) {
-        super(around);
+    RowRestorer(Context context, SharedRows rows, RowTable table, RowFollower follower) {
+        super(context);
         mRows = rows;
         mTable = table;
         mFollower = follower;
     }
 
     void start() {
-        later(REGISTER_MILLIS, this::register);
+        schedule(RETRY_MILLIS, this::register);
     }
 
-    /** Removes this router's name, so that the others reckon with one router less. */
+    /** Removes the registration of this router. */
     @Override
     void stop() {
         super.stop();
-        mRows.remove(ownKey()).exceptionally(e -> RowFollower.logNotWritten("unregister", e));
+        mRows.remove(ownKey()).exceptionally(e -> RowFollower.logWriteFailure("unregister", e));
     }
 
     private String ownKey() {
-        return RowFollower.ROUTER + link().host();
+        return RowFollower.ROUTER_PREFIX + peers().host();
     }
 
-    /** Writes this router's row unless it is there, from an earlier life for instance. */
+    /** Registers this router unless the store still has a current registration. */
     void register() {
         if (isStopped()) {
             return;
         }
         Optional<SharedRow> own = mTable.find(ownKey());
-        boolean isThere = own.isPresent() && own.get().value().equals(link().address());
-        if (!isThere || mTable.isAhead(ownKey())) {
-            mRows.put(ownKey(), link().address())
-                    .exceptionally(e -> RowFollower.logNotWritten("register", e));
+        boolean isThere = own.isPresent() && own.get().value().equals(peers().address());
+        if (!isThere || mTable.isUnsynced(ownKey())) {
+            mRows.put(ownKey(), peers().address())
+                    .exceptionally(e -> RowFollower.logWriteFailure("register", e));
         }
     }
 
     /**
-     * Has written again what the store lacks: this router's row by itself, those that all share by
-     * one router, or else by another.
+     * Schedules writes of what the store lacks after a restore: each router registers itself, and
+     * one router writes the shared rows, with the others as fallback.
      *
-     * @param isFirst whether this router writes what all share, unless it fails to
+     * @param isFirst whether this router writes the shared rows without delay
      */
-    void onReturn(boolean isFirst) {
-        later(spreadOverRouters(), this::register);
-        later(REGISTER_MILLIS + spreadOverRouters(), this::register);
-        long pause = isFirst ? 0 : OTHERS_WRITE_MILLIS + spreadOverRouters();
-        later(pause, () -> writeAgain(isFirst));
-        later(FORGET_ROUTERS_MILLIS, this::forgetRouters);
+    void onStoreRestored(boolean isFirst) {
+        schedule(fleetJitterMillis(), this::register);
+        schedule(RETRY_MILLIS + fleetJitterMillis(), this::register);
+        long pause = isFirst ? 0 : FALLBACK_WRITE_DELAY_MILLIS + fleetJitterMillis();
+        schedule(pause, () -> rewriteRows(isFirst));
+        schedule(ROUTER_EXPIRY_MILLIS, this::expireRouters);
     }
 
-    /** Writes rows that the store lacks, one after another, until it has them all. */
-    private void writeAgain(boolean isFirst) {
+    /** Writes the rows that the store lacks, one at a time. */
+    private void rewriteRows(boolean isFirst) {
         if (isStopped() || mWriting || !mFollower.isCurrent()) {
             return;
         }
         if (isFirst) {
-            mTable.takeRevived().forEach(this::removeAgain);
+            mTable.drainResurrected().forEach(this::removeResurrected);
         }
         Optional<SharedRow> next =
-                mTable.ahead().stream().filter(r -> !RowFollower.isRouter(r)).findFirst();
+                mTable.unsynced().stream().filter(r -> !RowFollower.isRouter(r)).findFirst();
         if (next.isEmpty()) {
             return;
         }
@@ -98,27 +98,27 @@
     private void onWritten(SharedRow row, SharedRow now, Throwable failure) {
         mWriting = false;
         if (failure != null) {
-            RowFollower.logNotWritten(row.key(), failure);
-            later(REGISTER_MILLIS, () -> writeAgain(false));
+            RowFollower.logWriteFailure(row.key(), failure);
+            schedule(RETRY_MILLIS, () -> rewriteRows(false));
         } else if (now.value().equals(row.value())) {
             mFollower.onWritten(now);
-            writeAgain(false);
+            rewriteRows(false);
         } else {
             mFollower.onRead(now);
-            later(NEXT_MILLIS, () -> writeAgain(false));
+            schedule(CONFLICT_RETRY_MILLIS, () -> rewriteRows(false));
         }
     }
 
-    private void removeAgain(SharedRow row) {
-        mRows.remove(row.key()).exceptionally(e -> RowFollower.logNotWritten(row.key(), e));
+    private void removeResurrected(SharedRow row) {
+        mRows.remove(row.key()).exceptionally(e -> RowFollower.logWriteFailure(row.key(), e));
     }
 
-    /** Forgets the routers that have not written their rows again: they had ended. */
-    private void forgetRouters() {
-        for (SharedRow r : mTable.ahead()) {
+    /** Removes the routers that have not registered again. */
+    private void expireRouters() {
+        for (SharedRow r : mTable.unsynced()) {
             if (RowFollower.isRouter(r) && !r.key().equals(ownKey())) {
-                mTable.forget(r.key());
-                link().remove(r.key().substring(RowFollower.ROUTER.length()));
+                mTable.evict(r.key());
+                peers().removeRouter(r.key().substring(RowFollower.ROUTER_PREFIX.length()));
             }
         }
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowTable.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowTable.java
@@ -13,70 +13,68 @@
 import java.util.Optional;
 
 /**
- * Keeps the rows that routers share, as they hold here.
+ * Local copy of the rows that routers share. Not thread-safe.
  *
- * <p>When the store comes back from an older copy, it may lack the last writes of some rows. Their
- * content holds on here, ahead of the store, until it is written again or another router writes
- * something else. Not thread-safe.
+ * <p>A store that was restored from an older copy may lack the last writes of some rows. Their
+ * values remain valid here as unsynced rows until they are written again or another router writes
+ * other values.
  */
 final class RowTable {
-    /** Removed rows that are remembered, so that a copy does not bring them back. */
+    /** Removed rows remembered, so that a restore does not resurrect them. */
     private static final int MAX_REMOVED = 1_024;
 
     private final Map<String, Entry> mEntries = new LinkedHashMap<>();
     private final Map<String, Boolean> mRemoved = BoundedMap.byInsertion(MAX_REMOVED);
-    private final Map<String, SharedRow> mRevived = new LinkedHashMap<>();
+    private final Map<String, SharedRow> mResurrected = new LinkedHashMap<>();
 
     /**
-     * Holds a row.
+     * A row and its state.
      *
-     * @param row as it holds here, at the position of the store's row
-     * @param ahead whether the store's row is another, or missing
+     * @param row the local value, at the position of the row in the store
+     * @param unsynced whether the store has another value or no row
      */
-    private record Entry(SharedRow row, boolean ahead) {}
+    private record Entry(SharedRow row, boolean unsynced) {}
 
-    /** Returns all rows, as they hold here. */
-    List<SharedRow> known() {
+    /** Returns the local values of all rows. */
+    List<SharedRow> rows() {
         return mEntries.values().stream().map(Entry::row).toList();
     }
 
-    /** Returns whether no row is known. */
     boolean isEmpty() {
         return mEntries.isEmpty();
     }
 
-    /** Returns a row, as it holds here. */
+    /** Returns the local value of a row. */
     Optional<SharedRow> find(String key) {
         return Optional.ofNullable(mEntries.get(key)).map(Entry::row);
     }
 
-    /** Returns whether a row holds here that the store does not have. */
-    boolean isAhead(String key) {
+    /** Returns whether the store has another value of a row, or lacks it. */
+    boolean isUnsynced(String key) {
         Entry e = mEntries.get(key);
-        return e != null && e.ahead();
+        return e != null && e.unsynced();
     }
 
-    /** Returns the rows that hold here and that the store does not have. */
-    List<SharedRow> ahead() {
-        return mEntries.values().stream().filter(Entry::ahead).map(Entry::row).toList();
+    /** Returns the rows of which the store has another value or none. */
+    List<SharedRow> unsynced() {
+        return mEntries.values().stream().filter(Entry::unsynced).map(Entry::row).toList();
     }
 
-    /** Returns the rows that had been removed before a copy brought them back, and forgets them. */
-    List<SharedRow> takeRevived() {
-        List<SharedRow> revived = List.copyOf(mRevived.values());
-        mRevived.clear();
-        return revived;
+    /** Returns and clears the rows that had been removed and that a restore brought back. */
+    List<SharedRow> drainResurrected() {
+        List<SharedRow> resurrected = List.copyOf(mResurrected.values());
+        mResurrected.clear();
+        return resurrected;
     }
 
-    /** Forgets a row that nobody has written again. */
-    void forget(String key) {
+    void evict(String key) {
         mEntries.remove(key);
     }
 
-    /** Takes a row in; returns false if a newer state of it is known. */
-    boolean take(SharedRow row) {
+    /** Applies a row; returns false if a newer version is known. */
+    boolean apply(SharedRow row) {
         Entry known = mEntries.get(row.key());
-        if (known != null && !isNews(row, known)) {
+        if (known != null && !isNewer(row, known)) {
             return false;
         }
         if (row.exists()) {
@@ -89,33 +87,33 @@
         return true;
     }
 
-    private static boolean isNews(SharedRow row, Entry known) {
+    private static boolean isNewer(SharedRow row, Entry known) {
         StorePosition at = known.row().position();
         if (row.exists()) {
             return row.position().isAfter(at);
         }
-        boolean wasAbsent = known.ahead() && !known.row().exists();
+        boolean wasAbsent = known.unsynced() && !known.row().exists();
         return row.position().era() >= at.era() && !wasAbsent;
     }
 
     /**
-     * Returns what a whole read of a later era has otherwise than this table: rows that are new or
-     * differ, and absent ones. Whoever knows the same as this table can follow by these alone.
+     * Returns how a full read of a later era differs from this table: new, changed and absent rows.
+     * Another table with the same content can be updated by the difference alone.
      */
-    List<SharedRow> differing(Collection<SharedRow> read, int era) {
-        Map<String, SharedRow> left = new LinkedHashMap<>();
-        read.forEach(r -> left.put(r.key(), r));
+    List<SharedRow> diff(Collection<SharedRow> read, int era) {
+        Map<String, SharedRow> remaining = new LinkedHashMap<>();
+        read.forEach(r -> remaining.put(r.key(), r));
         List<SharedRow> differing = new ArrayList<>();
         for (Entry e : mEntries.values()) {
             SharedRow own = e.row();
-            SharedRow now = left.remove(own.key());
+            SharedRow now = remaining.remove(own.key());
             if (now == null) {
                 differing.add(SharedRow.absent(own.key(), era));
             } else if (!isSame(own, now)) {
                 differing.add(now);
             }
         }
-        differing.addAll(left.values());
+        differing.addAll(remaining.values());
         return differing;
     }
 
@@ -125,41 +123,44 @@
     }
 
     /**
-     * Moves on to a later era.
+     * Moves to a later era.
      *
-     * @param since up to where the table is known whose differences these are
-     * @param era the later one
-     * @param differing what the store has otherwise
+     * @param since position of the table from which the difference was computed
+     * @param era the later era
+     * @param differing rows that differ in the store
      * @return rows that were not known
      */
-    List<SharedRow> turn(StorePosition since, int era, List<SharedRow> differing) {
-        mRevived.clear(); // those of an earlier return may have been written anew since
+    List<SharedRow> advanceEra(StorePosition since, int era, List<SharedRow> differing) {
+        mResurrected.clear(); // those of an earlier restore may have been written again since
         Map<String, SharedRow> other = new HashMap<>();
         differing.forEach(r -> other.put(r.key(), r));
         mEntries.replaceAll(
                 (key, e) -> {
                     SharedRow now = other.remove(key);
                     if (e.row().position().era() >= era) {
-                        return e; // told by its writer already
+                        return e; // already received from its writer
                     }
                     return now == null ? unchanged(e.row(), since, era) : changed(e.row(), now);
                 });
-        List<SharedRow> news = new ArrayList<>();
+        List<SharedRow> added = new ArrayList<>();
         for (SharedRow r : differing) {
             if (!other.containsKey(r.key()) || !r.exists()) {
                 continue;
             }
             if (mRemoved.containsKey(r.key())) {
-                mRevived.put(r.key(), r);
+                mResurrected.put(r.key(), r);
             } else {
                 mEntries.put(r.key(), new Entry(r, false));
-                news.add(r);
+                added.add(r);
             }
         }
-        return news;
+        return added;
     }
 
-    /** Returns a row that the store still has, unless it is one that the teller did not know. */
+    /**
+     * Returns the entry of a row absent from the difference: the store still has it, unless the
+     * router that computed the difference did not know it.
+     */
     private static Entry unchanged(SharedRow own, StorePosition since, int era) {
         StorePosition at = own.position();
         if (at.isAfter(since)) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Seats.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Seats.java
@@ -28,30 +28,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps the seats of engine pools in rows that all routers share. Any router proposes a change by
- * compare-and-set; none is set aside for it. Used on the event loop.
+ * Follows the seats of engine pools, which are stored in shared rows, and proposes changes. Any
+ * router proposes by compare-and-set; there is no leader. Confined to the event loop.
  *
  * @since 0.2
  */
 public final class Seats {
-    /** The pool is looked at so often. */
-    private static final long PLAN_MILLIS = 400;
+    private static final long PLAN_PERIOD_MILLIS = 400;
 
     /**
-     * The router that reads for all proposes first, and the others only if nothing came of it: of
-     * several proposals one takes effect, and each is a call. Three times the pause between two
-     * looks at the pool; not measured by itself. Unit: milliseconds.
+     * Delay of proposals by other routers than the one that reads the rows, so that usually only
+     * one proposes.
      */
-    private static final long OTHERS_PLAN_MILLIS = 1_200;
+    private static final long FALLBACK_PLAN_DELAY_MILLIS = 1_200;
 
-    /** A pool without a request for so long is idle. */
-    private static final long IDLE_MILLIS = 5_000;
+    private static final long POOL_IDLE_MILLIS = 5_000;
 
-    /** Targets after the first in a key's order that serve the key while the first is away. */
-    private static final int NEXT_IN_ORDER = 2;
+    /**
+     * Number of targets, after the first in the order of a key, that serve the key while the first
+     * is unavailable.
+     */
+    private static final int MAX_FALLBACK_HOLDERS = 2;
 
-    private static final int MAX_PREVIOUS = 256;
-    private static final String SEATS = "seats/";
+    private static final int MAX_PREVIOUS_HOLDERS = 256;
+    private static final String KEY_PREFIX = "seats/";
 
     private final EventLoop mLoop;
     private final Clock mClock;
@@ -63,30 +63,34 @@
     private final Map<String, Long> mLastRequest = new HashMap<>();
     private final Map<String, SpillShare> mSpills = new HashMap<>();
 
-    /** Holders of seats that have not read what their keys' others have: new, or started again. */
-    private final Set<String> mAddedWhileBusy = new HashSet<>();
+    /**
+     * Holders of seats without the prompts of their keys: their seats were added under load, or
+     * they have restarted.
+     */
+    private final Set<String> mColdHolders = new HashSet<>();
 
-    private final Map<String, String> mPrevious = BoundedMap.byInsertion(MAX_PREVIOUS);
+    private final Map<String, String> mPreviousHolders =
+            BoundedMap.byInsertion(MAX_PREVIOUS_HOLDERS);
     private final RowFollower mFollower;
-    private final long mStarted;
+    private final long mStartedAt;
     private boolean mProposing;
     private boolean mStopped;
 
     Seats(
-            FollowerBase.Surroundings around,
+            FollowerBase.Context context,
             SharedRows rows,
             RowFollower follower,
             TargetDirectory targets) {
-        mLoop = around.loop();
-        mClock = around.clock();
+        mLoop = context.loop();
+        mClock = context.clock();
         mRows = rows;
-        mRandom = around.random();
+        mRandom = context.random();
         mTargets = targets;
         mFollower = follower;
-        mStarted = mClock.nowMillis();
+        mStartedAt = mClock.nowMillis();
     }
 
-    // ---------------------------------------------------------------- use
+    // ---------------------------------------------------------------- queries
 
     /** Returns the seats of a pool. */
     public SeatTable table(String pool) {
@@ -94,57 +98,56 @@
     }
 
     /**
-     * Returns the targets that are likely to have read the prompt of a key, the likeliest first.
-     * That is the first in the key's order; if that one has taken its seat from another, it is the
-     * other, or those next in the order, which served the key while the seat was vacant; if its
-     * seat was added, it is the next, which had the key before.
+     * Returns the targets that are likely to have processed the prompt of a key, the likeliest
+     * first. Usually that is the order of the key. If its first target has taken over a seat, the
+     * previous holder and the next targets in the order come first; if its seat was added, the next
+     * target, which served the key before.
      */
     public List<String> likelyHolders(String pool, long keyHash) {
         List<String> order = table(pool).order(keyHash);
         if (order.isEmpty()) {
             return order;
         }
-        String previous = mPrevious.get(order.get(0));
-        if (previous == null && !mAddedWhileBusy.contains(order.get(0))) {
+        String previous = mPreviousHolders.get(order.get(0));
+        if (previous == null && !mColdHolders.contains(order.get(0))) {
             return order;
         }
         List<String> likely = new ArrayList<>(order);
         if (previous != null) {
-            likely.add(Math.min(NEXT_IN_ORDER, likely.size() - 1), likely.remove(0));
+            likely.add(Math.min(MAX_FALLBACK_HOLDERS, likely.size() - 1), likely.remove(0));
             likely.add(0, previous);
         } else {
-            // Several seats are added at once: none of those has read the prompt.
-            likely.removeIf(mAddedWhileBusy::contains);
-            likely.add(Math.min(NEXT_IN_ORDER, likely.size()), order.get(0));
+            // None of the recently added holders has processed the prompt.
+            likely.removeIf(mColdHolders::contains);
+            likely.add(Math.min(MAX_FALLBACK_HOLDERS, likely.size()), order.get(0));
         }
         return likely;
     }
 
     /**
-     * Returns whether all routers take it for granted that a target has read the prompt of a key:
-     * it is the first in the key's order, and has not taken its seat from another.
+     * Returns whether routers infer from the seats that a target has processed the prompt of a key:
+     * it is the first in the order of the key and has not taken over its seat.
      */
-    boolean tellsOf(String pool, long keyHash, String targetId) {
+    boolean isImpliedHolder(String pool, long keyHash, String targetId) {
         List<String> order = table(pool).order(keyHash);
         return !order.isEmpty()
                 && order.get(0).equals(targetId)
-                && !mPrevious.containsKey(targetId)
-                && !mAddedWhileBusy.contains(targetId);
+                && !mPreviousHolders.containsKey(targetId)
+                && !mColdHolders.contains(targetId);
     }
 
-    /** Returns the holders of each pool's seats. */
     Map<String, List<String>> dump() {
         Map<String, List<String>> m = new TreeMap<>();
         mTables.forEach((pool, table) -> m.put(pool, table.holders()));
         return m;
     }
 
-    /** Notes a request for a pool. */
+    /** Records a request for a pool. */
     public void onRequest(String pool) {
         mLastRequest.put(pool, mClock.nowMillis());
     }
 
-    /** Notes why a target of an engine pool was chosen. */
+    /** Records why a target of an engine pool was chosen. */
     public void onPick(String pool, Pick.Reason reason) {
         spills(pool).onPick(reason, mClock.nowMillis());
     }
@@ -153,24 +156,24 @@
         return mSpills.computeIfAbsent(pool, p -> SpillShare.since(mClock.nowMillis()));
     }
 
-    // ---------------------------------------------------------------- following
+    // ---------------------------------------------------------------- updates
 
     void stop() {
         mStopped = true;
     }
 
-    /** Takes in a row that changed, if it is one of seats; one that vanished changes nothing. */
-    void take(SharedRow row) {
-        if (!row.key().startsWith(SEATS) || !row.exists()) {
+    /** Applies a changed row of seats; ignores other and removed rows. */
+    void apply(SharedRow row) {
+        if (!row.key().startsWith(KEY_PREFIX) || !row.exists()) {
             return;
         }
-        String pool = row.key().substring(SEATS.length());
+        String pool = row.key().substring(KEY_PREFIX.length());
         SeatTable table = SeatTable.of(Arrays.asList(row.value().split(",")));
         SeatTable before = table(pool);
         mTables.put(pool, table);
         if (!table.equals(before)) {
-            notePrevious(before, table);
-            noteAdded(pool, before, table);
+            updatePreviousHolders(before, table);
+            updateColdHolders(pool, before, table);
             Event.always("seats")
                     .with("pool", pool)
                     .with("position", row.position())
@@ -179,31 +182,31 @@
         }
     }
 
-    private void notePrevious(SeatTable before, SeatTable after) {
+    private void updatePreviousHolders(SeatTable before, SeatTable after) {
         int both = Math.min(before.holders().size(), after.holders().size());
         for (int i = 0; i < both; i++) {
             String old = before.holders().get(i);
             String now = after.holders().get(i);
             if (!old.equals(now)) {
-                mPrevious.put(now, old);
+                mPreviousHolders.put(now, old);
             }
         }
     }
 
-    /** Notes the holders of seats that were added while the pool had requests. */
-    private void noteAdded(String pool, SeatTable before, SeatTable after) {
+    /** Records the holders of seats that were added while the pool had requests. */
+    private void updateColdHolders(String pool, SeatTable before, SeatTable after) {
         int known = before.holders().size();
         if (known > 0 && mLastRequest.containsKey(pool)) {
-            after.holders().stream().skip(known).forEach(mAddedWhileBusy::add);
+            after.holders().stream().skip(known).forEach(mColdHolders::add);
         }
-        mAddedWhileBusy.retainAll(allHolders());
+        mColdHolders.retainAll(allHolders());
     }
 
-    /** Notes that a target has started again under its id: it has not read what its seat tells. */
+    /** Records that a target has restarted under its id and lost the prompts of its keys. */
     void onRestart(String targetId) {
-        mPrevious.remove(targetId);
+        mPreviousHolders.remove(targetId);
         if (allHolders().contains(targetId)) {
-            mAddedWhileBusy.add(targetId);
+            mColdHolders.add(targetId);
         }
     }
 
@@ -215,32 +218,32 @@
 
     // ---------------------------------------------------------------- proposing
 
-    /** Looks whether a pool's seats should change, and proposes it after a random moment. */
+    /** Schedules a proposal if the seats of a pool should change. */
     void plan(TrafficConfig config) {
         long now = mClock.nowMillis();
         if (!mFollower.isCurrent() || mProposing || mStopped) {
             return;
         }
         for (Pool p : config.pools()) {
-            if (p.engine() && next(p.name(), now).isPresent()) {
+            if (p.engine() && nextTable(p.name(), now).isPresent()) {
                 mProposing = true;
-                long first = mFollower.isReader() ? 0 : OTHERS_PLAN_MILLIS;
-                long pause = first + mRandom.nextLong(PLAN_MILLIS);
+                long first = mFollower.isReader() ? 0 : FALLBACK_PLAN_DELAY_MILLIS;
+                long pause = first + mRandom.nextLong(PLAN_PERIOD_MILLIS);
                 mLoop.schedule(() -> propose(p.name()), pause, TimeUnit.MILLISECONDS);
                 return;
             }
         }
     }
 
-    long planMillis() {
-        return PLAN_MILLIS;
+    long planPeriodMillis() {
+        return PLAN_PERIOD_MILLIS;
     }
 
-    private Optional<SeatTable> next(String pool, long now) {
+    private Optional<SeatTable> nextTable(String pool, long now) {
         SeatPlanner planner = mPlanners.computeIfAbsent(pool, p -> SeatPlanner.create());
-        long last = Math.max(mStarted, mLastRequest.getOrDefault(pool, mStarted));
+        long last = Math.max(mStartedAt, mLastRequest.getOrDefault(pool, mStartedAt));
         SeatPlanner.Demand demand = SeatPlanner.Demand.BALANCED;
-        if (now - last > IDLE_MILLIS) {
+        if (now - last > POOL_IDLE_MILLIS) {
             demand = SeatPlanner.Demand.IDLE;
         } else if (spills(pool).isOutOfBalance(now)) {
             demand = SeatPlanner.Demand.SPILLING;
@@ -249,20 +252,20 @@
     }
 
     private void propose(String pool) {
-        Optional<SeatTable> next = next(pool, mClock.nowMillis());
+        Optional<SeatTable> next = nextTable(pool, mClock.nowMillis());
         if (next.isEmpty() || mStopped) {
             mProposing = false;
             return;
         }
         String value = String.join(",", next.get().holders());
-        mRows.compareAndSet(SEATS + pool, value, mFollower.position(SEATS + pool))
+        mRows.compareAndSet(KEY_PREFIX + pool, value, mFollower.position(KEY_PREFIX + pool))
                 .whenComplete(
                         (row, failure) -> {
                             mProposing = false;
                             if (failure == null) {
                                 mFollower.onWritten(row);
                             } else {
-                                RowFollower.logNotWritten("seats", failure);
+                                RowFollower.logWriteFailure("seats", failure);
                             }
                         });
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/StoreEra.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/StoreEra.java
@@ -9,46 +9,49 @@
 import java.util.TreeMap;
 
 /**
- * Follows which era of the store is the newest, by the store's answers and by other routers. What
- * names an era that cannot be is not believed, so that harmed bytes make no router pass over all
- * that follows. Used on the event loop; counts are read from any thread.
+ * Tracks the newest era of the store from its responses and from other routers' messages. Refuses
+ * implausible eras, so that a corrupted message does not make the router ignore all later ones.
+ * Updated on the event loop; counters may be read from any thread.
  */
 final class StoreEra {
-    /** Returns that a router may have missed at once; more are bytes that were harmed. */
-    private static final int MAX_RISE = 1_000;
+    /**
+     * Maximum number of restores that a router may have missed; larger jumps are treated as
+     * corruption.
+     */
+    private static final int MAX_ERA_JUMP = 1_000;
 
     private final Map<Refusal, Long> mRefused = new EnumMap<>(Refusal.class);
     private boolean mKnown;
     private volatile int mEra;
-    private volatile long mReturns;
+    private volatile long mRestores;
     private volatile long mRefusals;
 
-    /** Says why an era is not believed. */
+    /** Reason to refuse an era. */
     enum Refusal {
-        /** None is named, although one was before. */
+        /** No era is given, although one was before. */
         MISSING,
-        /** It is over: an answer that was under way when the store came back. */
+        /** The era has ended: a response was in flight during the restore. */
         LOWER,
-        /** It is further on than the store can be. */
+        /** The era is implausibly far ahead. */
         JUMPED
     }
 
-    /** Returns the newest era, or 0. */
+    /** Returns the newest era, or 0 if none is known. */
     int newest() {
         return mEra;
     }
 
-    /** Returns how often the store has come back since this router's start, as far as it saw. */
-    long returns() {
-        return mReturns;
+    /** Returns the number of restores observed since the start of this router. */
+    long restores() {
+        return mRestores;
     }
 
-    /** Returns how often an era was not believed. */
+    /** Returns the number of refused eras. */
     long refusals() {
         return mRefusals;
     }
 
-    /** Returns how often an era was not believed, by reason; on the event loop only. */
+    /** Returns the number of refused eras by reason; only on the event loop. */
     Map<String, Long> refused() {
         Map<String, Long> m = new TreeMap<>();
         mRefused.forEach((r, n) -> m.put(r.name().toLowerCase(Locale.ROOT), n));
@@ -56,10 +59,10 @@
     }
 
     /**
-     * Takes in an era that the store's answer or another router names.
+     * Checks an era and updates the newest one.
      *
-     * @param origin who names it, for the log
-     * @return whether what came with it may be used
+     * @param origin source of the position, for the log
+     * @return whether the accompanying data may be used
      */
     boolean accepts(StorePosition position, String origin) {
         int era = position.era();
@@ -71,22 +74,22 @@
         if (era < mEra) {
             return refuse(era == 0 ? Refusal.MISSING : Refusal.LOWER, position, origin);
         }
-        if (era - mEra > MAX_RISE) {
+        if (era - mEra > MAX_ERA_JUMP) {
             return refuse(Refusal.JUMPED, position, origin);
         }
         if (era > mEra) {
-            onReturn(position, origin);
+            onRestore(position, origin);
         }
         return true;
     }
 
-    private void onReturn(StorePosition position, String origin) {
+    private void onRestore(StorePosition position, String origin) {
         Event.always("store_era")
                 .with("before", mEra)
                 .with("now", position)
                 .with("origin", origin)
                 .log();
-        mReturns++;
+        mRestores++;
         mEra = position.era();
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/SourceWatch.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/StoreHealth.java
@@ -2,18 +2,18 @@
 
 import org.forkseam.direct.log.Event;
 
-/** Follows whether the store answers this router. Used on the event loop. */
-final class SourceWatch {
+/** Tracks whether the store responds to this router. Confined to the event loop. */
+final class StoreHealth {
     private final Listener mListener;
     private boolean mDown;
 
-    /** Is told when the store answers again. */
+    /** Receives the recovery of the store. */
     interface Listener {
-        /** Is called before what the store said is used. */
-        void onBack();
+        /** Called when the store responds again, before its response is applied. */
+        void onRecovered();
     }
 
-    SourceWatch(Listener listener) {
+    StoreHealth(Listener listener) {
         mListener = listener;
     }
 
@@ -21,14 +21,14 @@
         return mDown;
     }
 
-    void onAnswer() {
+    void onSuccess() {
         if (mDown) {
             mDown = false;
-            mListener.onBack();
+            mListener.onRecovered();
         }
     }
 
-    void onNoAnswer(Throwable failure) {
+    void onFailure(Throwable failure) {
         if (!mDown) {
             mDown = true;
             Event.always("store_lost").with("cause", failure.getMessage()).log();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Texts.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/StringCodec.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes and reads texts in datagrams, with their length before them. */
-final class Texts {
-    private Texts() {}
+/** Encodes and decodes length-prefixed UTF-8 strings in datagrams. Stateless. */
+final class StringCodec {
+    private StringCodec() {}
 
     static void write(ByteBuf b, String text) {
         b.writeShort(ByteBufUtil.utf8Bytes(text));
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/CrashWarnings.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/SuspectRows.java
@@ -14,32 +14,31 @@
 import java.util.function.Supplier;
 
 /**
- * Keeps rows of requests under which all but one of the targets have ended that it takes to refuse
- * them, for routers that others' messages do not reach and for those that start later. Without
- * these, each router that is cut off from the others counts for itself. Used on the event loop.
+ * Stores requests that are one crash short of being refused, for routers that start later or cannot
+ * reach the others. Without these rows, each partitioned router would count crashes separately.
+ * Confined to the event loop.
  *
- * <p>Only the router that saw the second end writes: in a storm of four ends some five requests are
- * beside two of them.
+ * <p>Only the router that observed the deciding crash writes the row.
  */
-final class CrashWarnings {
-    private static final ContentKey ROW = new ContentKey("suspect/");
+final class SuspectRows {
+    private static final RowKeyPrefix ROW_KEY = new RowKeyPrefix("suspect/");
 
-    /** Rows written at most, some 80 bytes each; beyond, messages between routers must do. */
+    /** Bounds the rows in the store; beyond it, only messages between routers carry suspects. */
     private static final int MAX_ROWS = 256;
 
-    /** A row is of no use after so long: the request has come again by then. Unit: ms. */
-    private static final long KEPT_MILLIS = 600_000;
+    /** Rows are removed after this time. */
+    private static final long RETENTION_MILLIS = 600_000;
 
     private final SharedRows mRows;
     private final Supplier<OptionalLong> mStoreMillis;
     private final Map<String, Long> mWrittenAt = BoundedMap.byInsertion(2 * MAX_ROWS);
 
-    CrashWarnings(SharedRows rows, Supplier<OptionalLong> storeMillis) {
+    SuspectRows(SharedRows rows, Supplier<OptionalLong> storeMillis) {
         mRows = rows;
         mStoreMillis = storeMillis;
     }
 
-    /** Writes what is known of a request. */
+    /** Writes the known crashes of a request unless the limit is reached. */
     void write(long content, List<CrashFact> crashes) {
         OptionalLong now = mStoreMillis.get();
         if (now.isEmpty() || mWrittenAt.size() >= MAX_ROWS) {
@@ -47,26 +46,26 @@
         }
         StringBuilder value = new StringBuilder(Long.toString(now.getAsLong()));
         crashes.forEach(f -> value.append(',').append(Integer.toHexString(f.crash())));
-        String key = ROW.of(content);
-        mRows.put(key, value.toString()).exceptionally(e -> RowFollower.logNotWritten(key, e));
+        String key = ROW_KEY.keyOf(content);
+        mRows.put(key, value.toString()).exceptionally(e -> RowFollower.logWriteFailure(key, e));
     }
 
-    /** Takes in a row that changed, and returns what it tells; nothing if it is another's. */
-    List<CrashFact> take(SharedRow row) {
-        if (!ROW.isOf(row.key())) {
+    /** Applies a changed row and returns its crashes; empty if the row is of another kind. */
+    List<CrashFact> apply(SharedRow row) {
+        if (!ROW_KEY.matches(row.key())) {
             return List.of();
         }
         if (!row.exists()) {
             mWrittenAt.remove(row.key());
             return List.of();
         }
-        Optional<Long> content = ROW.content(row.key());
+        Optional<Long> content = ROW_KEY.contentOf(row.key());
         try {
             if (content.isPresent()) {
                 return read(row, content.get());
             }
         } catch (NumberFormatException e) {
-            // a number in the value; logged as the key's is
+            // logged below, like a malformed key
         }
         Event.of("suspect_row_malformed").with("row", row.key()).log();
         return List.of();
@@ -85,14 +84,14 @@
         return crashes;
     }
 
-    /** Removes rows that are of no use any more. */
+    /** Removes expired rows. */
     void sweep() {
         long now = mStoreMillis.get().orElse(0);
         for (Map.Entry<String, Long> e : List.copyOf(mWrittenAt.entrySet())) {
-            if (now - e.getValue() >= KEPT_MILLIS) {
+            if (now - e.getValue() >= RETENTION_MILLIS) {
                 mWrittenAt.remove(e.getKey());
                 mRows.remove(e.getKey())
-                        .exceptionally(x -> RowFollower.logNotWritten(e.getKey(), x));
+                        .exceptionally(x -> RowFollower.logWriteFailure(e.getKey(), x));
             }
         }
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
@@ -16,31 +16,27 @@
 import java.util.function.Consumer;
 
 /**
- * Follows the list of targets. One router reads it for all and tells the others what has changed;
- * who has missed a change, or hears nothing, reads for itself. Used on the event loop.
+ * Follows the list of targets. One router reads it and broadcasts the changes; a router that missed
+ * a change, or receives nothing, reads the list itself. Confined to the event loop.
  */
 final class TargetFollower extends FollowerBase {
-    /** Entries told in one message: each takes some 90 bytes of 1,400. */
-    private static final int STEP_ENTRIES = 12;
+    /** Entries in one message, at some 90 bytes each. */
+    private static final int MAX_ENTRIES_PER_MESSAGE = 12;
 
     /**
-     * Messages that a change may take, over all routers: 0.5 MB, 0.4 s of the narrowest links. With
-     * more the reader's link drops part of them, and all read the list after the message is lost:
-     * at 298 routers that was 392 to 470 KB a second each, in place of 259 without.
+     * Limits the datagrams that one change takes over all routers. Beyond it the uplink of the
+     * reader drops some of them, and the receivers read the list anyway.
      */
     private static final int MAX_MESSAGES = 400;
 
-    /**
-     * Least pause between the begin of two tries when other routers show that the way to the store
-     * may be back; about half the time for which a try waits for its answer.
-     */
+    /** Minimum interval between read attempts triggered by messages of other routers. */
     private static final long MIN_RETRY_MILLIS = 500;
 
     /**
-     * When it is decided what is kept after an outage, routers read at moments of such a span,
-     * times their number: one reads, and the others hear of it before their moment.
+     * Scales the random delay of the read at the end of the grace period with the number of
+     * routers, so that one reads and the others hear of it first.
      */
-    private static final long DECISION_SPREAD_MILLIS_A_ROUTER = 2;
+    private static final long GRACE_END_JITTER_MILLIS_PER_ROUTER = 2;
 
     private final FleetSource mSource;
     private final TargetDirectory mTargets = TargetDirectory.create();
@@ -48,26 +44,26 @@
     private TargetNews.Listed mList = TargetNews.Listed.of(List.of());
     private final Consumer<String> mOnRestart;
     private StoreTime mReadAt = StoreTime.NEVER;
-    private int mStepsLeft;
+    private int mPartsLeft;
     private int mFailures;
     private long mConfirmedAt;
-    private long mSourceOffset;
-    private boolean mListed;
+    private long mStoreClockOffset;
+    private boolean mHasList;
     private boolean mReading;
     private int mReads;
-    private long mTriedAt = Long.MIN_VALUE / 2;
-    private Future<?> mNext;
-    private Future<?> mDecision;
+    private long mLastAttemptAt = Long.MIN_VALUE / 2;
+    private Future<?> mNextRead;
+    private Future<?> mGraceEndRead;
 
     /**
-     * Creates a follower that knows nothing yet.
+     * Creates a follower without a list.
      *
-     * @param pauseMillis between two reads of the list, by whatever router
-     * @param onRestart is told the ids of targets that have started again
+     * @param pauseMillis interval between reads of the list, over all routers
+     * @param onRestart receives the ids of restarted targets
      */
     TargetFollower(
-            Surroundings around, FleetSource source, long pauseMillis, Consumer<String> onRestart) {
-        super(around);
+            Context context, FleetSource source, long pauseMillis, Consumer<String> onRestart) {
+        super(context);
         mSource = source;
         mOnRestart = onRestart;
         mPauseMillis = pauseMillis;
@@ -82,119 +78,128 @@
     }
 
     /** Returns whether any list is known. */
-    boolean isListed() {
-        return mListed;
+    boolean hasList() {
+        return mHasList;
     }
 
-    /** Returns when the list was last known to be the newest. */
+    /** Returns when the list was last confirmed to be the newest. */
     long confirmedAt() {
         return mConfirmedAt;
     }
 
-    // ---------------------------------------------------------------- the store
+    // ---------------------------------------------------------------- store
 
     void start() {
-        read(Telling.ALL);
+        read(Audience.ALL);
     }
 
-    /** Says whom a read is told to: only one that nobody else has made is told to all. */
-    private enum Telling {
+    /** Recipients of a read: a read that a message triggered is not broadcast again. */
+    private enum Audience {
         ALL,
-        NOBODY
+        NONE
     }
 
-    private void read(Telling telling) {
+    private void read(Audience audience) {
         if (isStopped() || mReading) {
             return;
         }
-        begin(telling);
+        startRead(audience);
     }
 
-    private void begin(Telling telling) {
+    private void startRead(Audience audience) {
         mReading = true;
-        mTriedAt = now();
+        mLastAttemptAt = now();
         int read = ++mReads;
         mSource.readTargets()
                 .whenComplete(
                         (list, e) -> {
                             if (read == mReads) {
-                                onList(list, e, telling);
+                                onList(list, e, audience);
                             }
                         });
     }
 
-    /** Reads at once, the way to the store being likely to be back; a read that hangs is left. */
+    /** Reads immediately because the store is probably reachable again; abandons a pending read. */
     void retry() {
-        if (!isStopped() && now() - mTriedAt >= MIN_RETRY_MILLIS) {
-            begin(Telling.ALL);
+        if (!isStopped() && now() - mLastAttemptAt >= MIN_RETRY_MILLIS) {
+            startRead(Audience.ALL);
         }
     }
 
-    private void onList(Versioned<List<TargetEntry>> read, Throwable failure, Telling telling) {
+    private void onList(Versioned<List<TargetEntry>> read, Throwable failure, Audience audience) {
         mReading = false;
         if (failure != null) {
-            watch().onNoAnswer(failure);
-            readIn(pauseAfter(++mFailures), this::start);
+            storeHealth().onFailure(failure);
+            scheduleRead(backoffMillis(++mFailures), this::start);
             return;
         }
-        watch().onAnswer();
+        storeHealth().onSuccess();
         mFailures = 0;
         long now = now();
-        mSourceOffset = now - read.readAt();
+        mStoreClockOffset = now - read.readAt();
         if (read.position().isBefore(mTargets.position())) {
             Event.of("list_passed_over")
                     .with("read", read.position())
                     .with("known", mTargets.position())
                     .log();
-            readNext();
+            scheduleNextRead();
             return;
         }
         TargetNews.Listed list = TargetNews.Listed.of(read.value());
         TargetNews news = TargetNews.between(mList.entries(), list, read.readAt(), read.position());
-        boolean first = !mListed;
-        take(list, read.position(), now);
+        boolean first = !mHasList;
+        apply(list, read.position(), now);
         mReadAt = read.readTime();
-        mStepsLeft = 0;
-        if (telling == Telling.ALL) {
-            tell(first ? List.of() : news.inSteps(STEP_ENTRIES), news);
+        mPartsLeft = 0;
+        if (audience == Audience.ALL) {
+            broadcast(first ? List.of() : news.inSteps(MAX_ENTRIES_PER_MESSAGE), news);
         }
-        readNext();
+        scheduleNextRead();
     }
 
-    private void readNext() {
-        readIn(mPauseMillis + spread(), this::readIfDue);
+    private void scheduleNextRead() {
+        scheduleRead(mPauseMillis + jitterMillis(), this::readIfDue);
     }
 
     /**
-     * Plans a read for when the time is over for which targets are kept whose rows may have lapsed,
-     * or passed over whose rows may be old. Until the next regular one, a target that had left was
-     * kept for up to a second more than the promise allows.
+     * Schedules a read for the end of the grace period in which missing targets are kept, or
+     * possibly outdated rows ignored. The next regular read would be too late for targets that have
+     * left.
      */
-    private void planDecision() {
-        long wait = untilDecided(now());
-        if (wait < Long.MAX_VALUE && (mDecision == null || mDecision.isDone())) {
-            long span = Math.min(SPREAD_MILLIS, DECISION_SPREAD_MILLIS_A_ROUTER * link().others());
-            mDecision = later(Math.max(0, wait) + random().nextLong(span + 1), this::decide);
+    private void scheduleGraceEndRead() {
+        long wait = millisToGraceEnd(now());
+        if (wait < Long.MAX_VALUE && (mGraceEndRead == null || mGraceEndRead.isDone())) {
+            long span =
+                    Math.min(
+                            JITTER_MILLIS,
+                            GRACE_END_JITTER_MILLIS_PER_ROUTER * peers().peerCount());
+            mGraceEndRead =
+                    schedule(Math.max(0, wait) + random().nextLong(span + 1), this::readAtGraceEnd);
         }
     }
 
-    /** Reads the list unless another router has read it since the time was over, and told it. */
-    private void decide() {
-        if (untilDecided(now()) < Long.MAX_VALUE) {
-            read(Telling.ALL);
+    /** Reads the list at the end of the grace period unless a message has resolved it. */
+    private void readAtGraceEnd() {
+        if (millisToGraceEnd(now()) < Long.MAX_VALUE) {
+            read(Audience.ALL);
         }
     }
 
-    /** Returns whether a list was read too early to tell what has left of what is kept. */
-    private boolean isTooEarly(StoreTime readAt) {
+    /**
+     * Returns whether a list was read before the grace period of missing targets ended, so that it
+     * cannot show which of them have left.
+     */
+    private boolean isBeforeGraceEnd(StoreTime readAt) {
         long now = now();
         return mTargets.keepsMissing()
                 && now >= mTargets.keepMissingUntil()
-                && inOwnTime(readAt) < mTargets.keepMissingUntil();
+                && toLocalTime(readAt) < mTargets.keepMissingUntil();
     }
 
-    /** Returns after how long what is kept or passed over is decided; at most never. */
-    private long untilDecided(long now) {
+    /**
+     * Returns the time until the end of the grace period; {@link Long#MAX_VALUE} if there is none.
+     */
+    private long millisToGraceEnd(long now) {
         long until = Long.MAX_VALUE;
         if (mTargets.keepsMissing()) {
             until = mTargets.keepMissingUntil() - now;
@@ -205,30 +210,30 @@
         return until;
     }
 
-    private void take(TargetNews.Listed list, StorePosition position, long confirmedAt) {
-        mListed = true;
+    private void apply(TargetNews.Listed list, StorePosition position, long confirmedAt) {
+        mHasList = true;
         mConfirmedAt = confirmedAt;
         mTargets.apply(position, list.entries(), now()).forEach(this::onChange);
         mList = list;
-        planDecision();
+        scheduleGraceEndRead();
     }
 
-    /** Plans the next read in place of the one planned: a read that a notice began adds none. */
-    private void readIn(long millis, Runnable read) {
-        if (mNext != null) {
-            mNext.cancel(false);
+    /** Schedules the next read, replacing the scheduled one. */
+    private void scheduleRead(long millis, Runnable read) {
+        if (mNextRead != null) {
+            mNextRead.cancel(false);
         }
-        mNext = later(millis, read);
+        mNextRead = schedule(millis, read);
     }
 
-    /** Reads the list unless another router has just read the same one. */
+    /** Reads the list unless another router has confirmed it within the interval. */
     private void readIfDue() {
         long wait = mConfirmedAt + mPauseMillis - now();
         if (wait > 0) {
-            readIn(wait + spread(), this::readIfDue);
+            scheduleRead(wait + jitterMillis(), this::readIfDue);
             return;
         }
-        read(Telling.ALL);
+        read(Audience.ALL);
     }
 
     private void onChange(TargetChange c) {
@@ -249,36 +254,36 @@
 
     // ---------------------------------------------------------------- other routers
 
-    /** Tells the steps of a change; if one does not fit, or there is none, what was read. */
-    private void tell(List<TargetNews> steps, TargetNews whole) {
-        boolean few = steps.size() * (long) link().others() <= MAX_MESSAGES;
+    /**
+     * Broadcasts the parts of a change; if there are none, too many, or one is too long, only a
+     * notice of the read.
+     */
+    private void broadcast(List<TargetNews> parts, TargetNews change) {
+        boolean few = parts.size() * (long) peers().peerCount() <= MAX_MESSAGES;
         if (few
-                && !steps.isEmpty()
-                && steps.stream().allMatch(s -> link().tell(new PeerMessage.Targets(s)))) {
+                && !parts.isEmpty()
+                && parts.stream().allMatch(s -> peers().broadcast(new PeerMessage.Targets(s)))) {
             return;
         }
-        link().tell(new PeerNotice(PeerNotice.Kind.LIST, whole.readTime(), whole.after()));
+        peers().broadcast(new PeerNotice(PeerNotice.Kind.LIST, change.readTime(), change.after()));
     }
 
-    /** Takes it in that another router has read the list, and found this one's or another. */
+    /** Applies another router's notice that it has read the list. */
     void onNotice(PeerNotice n) {
-        if (isOutOfTurn(n.readAt())) {
+        if (isOutdated(n.readAt())) {
             return;
         }
         if (n.fingerprint() == mList.fingerprint()) {
             confirm(n.readAt());
         } else {
-            read(Telling.NOBODY);
+            read(Audience.NONE);
         }
     }
 
-    /**
-     * Takes it in that another router has read the list and found it changed; steps of one change
-     * have the same time of reading.
-     */
-    void onNews(TargetNews news) {
-        boolean nextStep = mStepsLeft > 0 && news.readTime().equals(mReadAt);
-        if (isOutOfTurn(news.readTime()) && !nextStep) {
+    /** Applies another router's change of the list; parts of one change have the same read time. */
+    void onListChange(TargetNews news) {
+        boolean nextPart = mPartsLeft > 0 && news.readTime().equals(mReadAt);
+        if (isOutdated(news.readTime()) && !nextPart) {
             return;
         }
         if (news.after() == mList.fingerprint()) {
@@ -287,39 +292,45 @@
         }
         TargetNews.Listed list = news.applyTo(mList);
         if (!news.isRight(list) || news.position().isBefore(mTargets.position())) {
-            read(Telling.NOBODY);
+            read(Audience.NONE);
             return;
         }
         mReadAt = news.readTime();
-        mStepsLeft = news.more();
-        take(list, news.position(), inOwnTime(mReadAt));
+        mPartsLeft = news.more();
+        apply(list, news.position(), toLocalTime(mReadAt));
     }
 
-    /** What is kept for a while after an outage is decided by a list that was read after it. */
-    private boolean isOutOfTurn(StoreTime readAt) {
-        return !readAt.isAfter(mReadAt) || !mListed || isTooEarly(readAt);
+    /** Returns whether a read is older than the known list, or too old to end the grace period. */
+    private boolean isOutdated(StoreTime readAt) {
+        return !readAt.isAfter(mReadAt) || !mHasList || isBeforeGraceEnd(readAt);
     }
 
-    /** Takes in that the list known was the newest then, and decides by it what is due. */
+    /**
+     * Records that the known list was the newest at this time, and ends the grace period if it is
+     * due.
+     */
     private void confirm(StoreTime readAt) {
         mReadAt = readAt;
-        mConfirmedAt = inOwnTime(readAt);
+        mConfirmedAt = toLocalTime(readAt);
         if (mTargets.keepsMissing() || mTargets.passesOver()) {
-            take(mList, mTargets.position(), mConfirmedAt);
+            apply(mList, mTargets.position(), mConfirmedAt);
         }
     }
 
-    /** Translates a moment of the store's clock; one that has started anew tells no age. */
-    private long inOwnTime(StoreTime readAt) {
-        return Math.min(now(), readAt.millis() + mSourceOffset);
+    /**
+     * Converts a time of the store's clock to the local clock; never later than now, since the
+     * store's clock may have restarted.
+     */
+    private long toLocalTime(StoreTime readAt) {
+        return Math.min(now(), readAt.millis() + mStoreClockOffset);
     }
 
-    /** Takes another router's list while the store cannot be read. */
+    /** Applies the list of another router's snapshot while the store is unavailable. */
     void onSnapshot(StorePosition position, List<TargetEntry> list) {
         if (list.isEmpty()) {
             return;
         }
-        mListed = true;
+        mHasList = true;
         mTargets.apply(position, list, now()).forEach(this::onChange);
     }
 }
--- /dev/null
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetObservations.java
@@ -0,0 +1,79 @@
+package org.forkseam.direct.know;
+
+import org.forkseam.core.crash.CrashFact;
+import org.forkseam.core.member.Target;
+import org.forkseam.core.member.TargetDirectory;
+import org.forkseam.core.route.HolderMemory;
+import org.forkseam.core.share.FactExchange;
+import org.forkseam.core.share.HolderFact;
+import org.forkseam.core.share.LoadExchange;
+import org.forkseam.core.share.LoadReading;
+import org.forkseam.core.util.Clock;
+
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * Collects what this router and others observe in targets' responses: load, processed prompts,
+ * crashes under a request, and shutdown. Confined to the event loop.
+ */
+final class TargetObservations {
+    private final Clock mClock;
+    private final TargetDirectory mTargets;
+    private final HolderMemory mHolders = HolderMemory.create();
+    private final FactExchange<HolderFact> mHolderExchange =
+            FactExchange.of(HolderFact.MAX_FACTS, f -> 0);
+    private final Quarantine mQuarantine;
+    private final TargetSignals mSignals;
+
+    TargetObservations(
+            Clock clock, TargetDirectory targets, Quarantine quarantine, TargetSignals signals) {
+        mClock = clock;
+        mTargets = targets;
+        mQuarantine = quarantine;
+        mSignals = signals;
+    }
+
+    HolderMemory holders() {
+        return mHolders;
+    }
+
+    /**
+     * Records that a target has answered a request with a key and so has processed its prompt.
+     *
+     * @param known whether all routers infer this from the seats, so that it need not be sent
+     */
+    void onAnswered(long key, Target t, boolean known) {
+        boolean isNew = mHolders.onAnswered(key, t.start(), mClock.nowMillis());
+        if (isNew && !known) {
+            mHolderExchange.add(new HolderFact(key, t.shortHash()));
+        }
+    }
+
+    /** Returns the observations to send to another router; empty if there are none. */
+    Optional<PeerMessage> digest() {
+        List<LoadReading> loads = LoadExchange.digest(mTargets.all(), mClock.nowMillis());
+        List<HolderFact> holders = mHolderExchange.digest();
+        List<CrashFact> crashes = mQuarantine.digest();
+        List<Integer> leaving = mSignals.digest();
+        return loads.isEmpty() && holders.isEmpty() && crashes.isEmpty() && leaving.isEmpty()
+                ? Optional.empty()
+                : Optional.of(new PeerMessage.Observations(loads, holders, crashes, leaving));
+    }
+
+    /** Applies another router's observations. */
+    void apply(PeerMessage.Observations o) {
+        LoadExchange.take(o.loads(), mTargets::findByShortHash, mClock.nowMillis());
+        for (HolderFact f : o.holders()) {
+            mTargets.findByShortHash(f.target()).ifPresent(t -> applyHolder(f, t));
+        }
+        mQuarantine.apply(o.crashes());
+        mSignals.apply(o.leaving());
+    }
+
+    private void applyHolder(HolderFact f, Target t) {
+        if (mHolders.onAnswered(f.key(), t.start(), mClock.nowMillis())) {
+            mHolderExchange.add(f);
+        }
+    }
+}
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/package-info.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/package-info.java
@@ -1,2 +1,5 @@
-/** What the router knows of configuration, targets and other routers, and how it learns it. */
+/**
+ * Cluster state of the router: configuration, targets, shared rows and other routers, kept up to
+ * date from the store and by messages between routers.
+ */
 package org.forkseam.direct.know;
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/FollowerBaseTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/FollowerBaseTest.java
@@ -8,17 +8,17 @@
 import java.util.SplittableRandom;
 
 /**
- * Tests how often a router tries a store that refuses it. Eight of 23 routers were turned away for
- * nine seconds of a day, and each made some five calls a second, at a price each.
+ * Guards the backoff limits: a serving router must not overload a store that refuses it, and one
+ * that cannot serve must recover quickly.
  */
 class FollowerBaseTest {
     private static final int DRAWS = 200;
 
-    /** Is a follower of nothing. */
-    private static final class Follower extends FollowerBase {
-        Follower(boolean serving) {
+    /** Follower without data. */
+    private static final class TestFollower extends FollowerBase {
+        TestFollower(boolean serving) {
             super(
-                    new Surroundings(
+                    new Context(
                             null,
                             Clock.steady(),
                             new SplittableRandom(5),
@@ -30,32 +30,32 @@
     }
 
     private static long mean(boolean serving, int failures) {
-        Follower f = new Follower(serving);
+        TestFollower f = new TestFollower(serving);
         long sum = 0;
         for (int i = 0; i < DRAWS; i++) {
-            sum += f.pauseAfter(failures);
+            sum += f.backoffMillis(failures);
         }
         return sum / DRAWS;
     }
 
     @Test
-    void aRouterThatServesTriesSeldom() {
+    void aServingRouterBacksOffToTheLongMaximum() {
         assertThat(mean(true, 1)).isLessThan(150);
         assertThat(mean(true, 5)).isGreaterThan(1_300);
         assertThat(mean(true, 1_000)).isGreaterThan(1_300);
     }
 
     @Test
-    void aRouterThatKnowsTooLittleTriesOften() {
+    void aRouterThatCannotServeBacksOffToTheShortMaximum() {
         assertThat(mean(false, 1)).isLessThan(150);
         assertThat(mean(false, 1_000)).isLessThan(600);
     }
 
     @Test
-    void noPauseIsLongerThanWhatIsAllowedForAChange() {
-        Follower f = new Follower(true);
+    void noBackoffExceedsTheChangeLatencyLimit() {
+        TestFollower f = new TestFollower(true);
         for (int i = 0; i < DRAWS; i++) {
-            assertThat(f.pauseAfter(9)).isLessThan(2_300L);
+            assertThat(f.backoffMillis(9)).isLessThan(2_300L);
         }
     }
 }
