--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerCodecTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerCodecTest.java
@@ -34,7 +34,10 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 
-/** Tests the datagrams of routers. */
+/**
+ * Tests that datagrams round-trip, that malformed ones are rejected, and that they stay within the
+ * size limit.
+ */
 class PeerCodecTest {
     private static final TargetEntry ENTRY =
             new TargetEntry("i-7f3a91c2", "forecast-lm", "10.1.0.40:8001", "hall-a", 12, true, 0);
@@ -56,8 +59,8 @@
                     StorePosition.of(2, 9),
                     true,
                     List.of(new SharedRow("seats/p", "i,j", StorePosition.of(2, 9)), gone()));
-    private static final PeerMessage LEARNED =
-            new PeerMessage.Learned(
+    private static final PeerMessage OBSERVATIONS =
+            new PeerMessage.Observations(
                     List.of(new LoadReading(-5, 17, 999), new LoadReading(3, 0, 0)),
                     List.of(new HolderFact(Long.MAX_VALUE, -7)),
                     List.of(new CrashFact(-9, 11), CrashFact.answered(12)),
@@ -102,16 +105,16 @@
     }
 
     @Test
-    void eachMessageIsReadAsItWasWritten() {
+    void messagesRoundTrip() {
         PeerMessage notice = new PeerNotice(PeerNotice.Kind.LIST, StoreTime.of(1, 3), 4);
-        for (PeerMessage m : List.of(notice, OPERATORS, CONFIG, TARGETS, ROWS, LEARNED)) {
+        for (PeerMessage m : List.of(notice, OPERATORS, CONFIG, TARGETS, ROWS, OBSERVATIONS)) {
             assertThat(PeerCodec.read(written(m))).isEqualTo(Optional.of(m));
         }
     }
 
     @Test
-    void aMessageCutShortOrTooLongIsNone() {
-        for (PeerMessage m : List.of(OPERATORS, CONFIG, TARGETS, ROWS, LEARNED)) {
+    void truncatedAndOverlongMessagesAreRejected() {
+        for (PeerMessage m : List.of(OPERATORS, CONFIG, TARGETS, ROWS, OBSERVATIONS)) {
             ByteBuf whole = written(m);
             for (int n = 0; n < whole.readableBytes(); n++) {
                 assertThat(PeerCodec.read(whole.copy(0, n)).isPresent()).isFalse();
@@ -122,7 +125,7 @@
     }
 
     @Property(tries = 500)
-    void anyBytesAreReadWithoutAFailure(
+    void arbitraryBytesDoNotThrow(
             @ForAll byte[] bytes, @ForAll @IntRange(min = 15, max = 19) int kind) {
         ByteBuf b = Unpooled.buffer().writeByte(PeerCodec.FORMAT).writeByte(kind).writeBytes(bytes);
         PeerCodec.read(b);
@@ -130,7 +133,7 @@
     }
 
     @Test
-    void whatDoesNotFitIntoADatagramIsNotWritten() {
+    void messagesLargerThanADatagramAreNotWritten() {
         List<TargetEntry> many = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             many.add(new TargetEntry("i-" + i, "pool", "10.1.0.40:8001", "hall-a", 12, false, 0));
@@ -141,9 +144,9 @@
         assertThat(PeerCodec.write(new PeerMessage.Targets(news)).isPresent()).isFalse();
     }
 
-    /** Eight such messages a second are some 4 KB a second without facts, 11 KB with most. */
+    /** Guards the network cost of observations: routers send eight such messages a second. */
     @Test
-    void whatWasLearnedCostsAsReckoned() {
+    void observationsHaveTheExpectedSize() {
         List<LoadReading> loads = new ArrayList<>();
         for (int i = 0; i < LoadExchange.MAX_READINGS; i++) {
             loads.add(new LoadReading(i, 12, 500));
@@ -157,7 +160,7 @@
             crashes.add(new CrashFact(i, i));
         }
         List<Integer> leaving = new ArrayList<>();
-        for (int i = 0; i < TargetWords.MAX_LEAVING; i++) {
+        for (int i = 0; i < TargetSignals.MAX_LEAVING; i++) {
             leaving.add(i);
         }
         assertThat(bytes(loads, List.of(), List.of(), List.of())).isEqualTo(490);
@@ -171,6 +174,7 @@
             List<HolderFact> facts,
             List<CrashFact> crashes,
             List<Integer> leaving) {
-        return written(new PeerMessage.Learned(loads, facts, crashes, leaving)).readableBytes();
+        return written(new PeerMessage.Observations(loads, facts, crashes, leaving))
+                .readableBytes();
     }
 }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerNoticeTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerNoticeTest.java
@@ -26,10 +26,10 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 
-/** Tests what routers tell each other. */
+/** Tests the encodings of notices and snapshots. */
 class PeerNoticeTest {
     @Property(tries = 100)
-    void aNoticeIsReadAsItWasWritten(
+    void noticesRoundTrip(
             @ForAll PeerNotice.Kind kind,
             @ForAll int era,
             @ForAll long readAt,
@@ -39,7 +39,7 @@
     }
 
     @Property(tries = 300)
-    void anyOtherBytesAreNoNotice(@ForAll byte[] bytes) {
+    void bytesOfAnotherLengthAreRejected(@ForAll byte[] bytes) {
         PeerNotice known = new PeerNotice(PeerNotice.Kind.LIST, StoreTime.of(0, 1), 2);
         byte[] whole = new byte[known.write().readableBytes()];
         if (bytes.length != whole.length) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void anotherFormatOrKindIsPassedOver() {
+    void anotherFormatOrKindIsRejected() {
         byte[] b = new byte[22];
         b[0] = 9;
         assertThat(PeerNotice.read(Unpooled.wrappedBuffer(b)).isPresent()).isFalse();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aSnapshotHoldsAllThatARouterNeeds() throws Exception {
+    void snapshotsRoundTrip() throws Exception {
         Route route =
                 new Route(
                         "r",
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
@@ -32,7 +32,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** Tests which requests routers refuse, over their whole lives, with the rows of a small store. */
+/**
+ * Tests convictions, acquittals, terms and trials of requests on several routers with an in-memory
+ * store.
+ */
 class QuarantineTest {
     private static final long AWAIT_MILLIS = 5_000;
     private static final long CONTENT = 0x1234;
@@ -40,14 +43,14 @@
     private static final long TEN_MINUTES = 600_000;
     private static final int MAX_ROWS = 256;
 
-    /** The store's clock and a router's have nothing in common. */
-    private static final long STORE_AHEAD = 7_000_000;
+    /** The clocks of the store and the routers are unrelated. */
+    private static final long STORE_CLOCK_OFFSET_MILLIS = 7_000_000;
 
-    /** Is a store that several routers share. */
-    private static final class Rows implements SharedRows {
+    /** In-memory store shared by several routers. */
+    private static final class FakeSharedRows implements SharedRows {
         private final Map<String, SharedRow> mAll = new ConcurrentSkipListMap<>();
         private final AtomicLong mRevision = new AtomicLong(1);
-        private volatile boolean mAway;
+        private volatile boolean mUnavailable;
         private volatile int mWrites;
         private volatile Consumer<SharedRow> mListener = r -> {};
 
@@ -56,7 +59,7 @@
         }
 
         private <T> CompletableFuture<T> reply(Callable<T> call) {
-            if (mAway) {
+            if (mUnavailable) {
                 return CompletableFuture.failedFuture(SourceException.of("away"));
             }
             try {
@@ -120,35 +123,36 @@
         }
     }
 
-    /** Is one router's part; its clock stands still until it is moved. */
-    private final class Router {
+    /** One router with a manually advanced clock. */
+    private final class TestRouter {
         private final AtomicLong mClock = new AtomicLong();
         private final RowFollower mFollower;
         private final Quarantine mQuarantine;
 
-        Router() {
+        TestRouter() {
             String host = "host-" + ++mHosts;
             SplittableRandom random = new SplittableRandom(1);
             InetSocketAddress own = new InetSocketAddress("127.0.0.1", 5_000);
-            PeerLink link =
-                    new PeerLink(mLoop, new Knowledge.Self(host, own), random, (m, s) -> {});
-            FollowerBase.Surroundings around =
-                    new FollowerBase.Surroundings(
+            PeerGroup peers =
+                    new PeerGroup(
+                            mLoop, new Knowledge.RouterIdentity(host, own), random, (m, s) -> {});
+            FollowerBase.Context context =
+                    new FollowerBase.Context(
                             mLoop,
                             mClock::get,
                             random,
-                            link,
-                            new SourceWatch(() -> {}),
+                            peers,
+                            new StoreHealth(() -> {}),
                             new StoreEra(),
                             () -> true);
             List<Quarantine> listener = new ArrayList<>();
-            mFollower = new RowFollower(around, mRows, r -> listener.get(0).take(r));
-            mQuarantine = new Quarantine(around, mRows, mFollower);
+            mFollower = new RowFollower(context, mRows, r -> listener.get(0).apply(r));
+            mQuarantine = new Quarantine(context, mRows, mFollower);
             listener.add(mQuarantine);
         }
 
-        /** Takes what another router tells of the rows, at a time of the store's clock. */
-        void hear(long storeMillis) {
+        /** Applies all rows as messages of another router, at a time of the store's clock. */
+        void receiveRows(long storeMillis) {
             List<SharedRow> rows = List.copyOf(mRows.mAll.values());
             mFollower.onMessage(
                     new PeerMessage.Rows(
@@ -171,15 +175,15 @@
             for (int i = 1; i <= 3; i++) {
                 crash(content, i);
             }
-            settle();
+            drainLoop();
         }
 
         Verdict verdict(long content) throws Exception {
             return call(() -> mQuarantine.verdict(content));
         }
 
-        boolean ask(long content) throws Exception {
-            return call(() -> mQuarantine.askToTry(content).join());
+        boolean requestTrial(long content) throws Exception {
+            return call(() -> mQuarantine.requestTrial(content).join());
         }
 
         QuarantineTerm row() {
@@ -192,14 +196,14 @@
     private final MultiThreadIoEventLoopGroup mGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop mLoop = (EventLoop) mGroup.next();
-    private final Rows mRows = new Rows();
-    private Router mRouter;
+    private final FakeSharedRows mRows = new FakeSharedRows();
+    private TestRouter mRouter;
     private int mHosts;
 
     @BeforeEach
     void start() throws Exception {
         mRouter = router();
-        mRows.mListener = mRouter.mFollower::onRead; // it waits for changes of the rows
+        mRows.mListener = mRouter.mFollower::onRead; // this router polls the rows
     }
 
     @AfterEach
@@ -207,9 +211,9 @@
         mGroup.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private Router router() throws Exception {
-        Router r = new Router();
-        onLoop(() -> r.hear(STORE_AHEAD + r.mClock.get()));
+    private TestRouter router() throws Exception {
+        TestRouter r = new TestRouter();
+        onLoop(() -> r.receiveRows(STORE_CLOCK_OFFSET_MILLIS + r.mClock.get()));
         return r;
     }
 
@@ -221,8 +225,8 @@
         return mLoop.submit(task).get(AWAIT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Lets what was planned for this turn of the loop and the next be done. */
-    private void settle() throws Exception {
+    /** Runs the tasks that are due on the event loop, and those that they schedule. */
+    private void drainLoop() throws Exception {
         for (int i = 0; i < 3; i++) {
             mLoop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS)
                     .get(AWAIT_MILLIS, TimeUnit.MILLISECONDS);
@@ -233,58 +237,58 @@
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_MILLIS);
         while (!call(condition)) {
             assertThat(System.nanoTime()).isLessThan(until);
-            settle();
+            drainLoop();
         }
     }
 
-    // ---------------------------------------------------------------- convicting
+    // ---------------------------------------------------------------- convictions
 
     @Test
-    void threeEndsOfTargetsRefuseARequestOnAllRouters() throws Exception {
-        Router other = router();
+    void threeCrashesRefuseARequestOnAllRouters() throws Exception {
+        TestRouter other = router();
         mRouter.crash(CONTENT, 1);
         mRouter.crash(CONTENT, 2);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
         mRouter.crash(CONTENT, 3);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
-        settle();
+        drainLoop();
         assertThat(mRows.refused()).isEqualTo(1);
-        onLoop(() -> other.hear(STORE_AHEAD));
+        onLoop(() -> other.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
-        assertThat(call(() -> other.mQuarantine.backInMillis(CONTENT))).isEqualTo(TEN_MINUTES);
+        assertThat(call(() -> other.mQuarantine.retryAfterMillis(CONTENT))).isEqualTo(TEN_MINUTES);
     }
 
-    /** Each router saw one end; whoever hears of all three refuses and writes. */
+    /** Crashes observed by several routers are counted together. */
     @Test
-    void endsThatOthersSawCountAsOwnOnes() throws Exception {
+    void crashesSeenByOtherRoutersCount() throws Exception {
         mRouter.crash(CONTENT, 1);
         onLoop(
                 () ->
-                        mRouter.mQuarantine.take(
+                        mRouter.mQuarantine.apply(
                                 List.of(new CrashFact(CONTENT, 2), new CrashFact(CONTENT, 3))));
-        settle();
+        drainLoop();
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
         assertThat(mRows.refused()).isEqualTo(1);
     }
 
-    /** Without the row, routers that no message reaches would lose two targets each. */
+    /** Without suspect rows, each partitioned router would count crashes from zero. */
     @Test
-    void aRouterThatIsCutOffFromTheOthersLearnsOfTwoEndsFromTheStore() throws Exception {
-        Router cutOff = router();
+    void aPartitionedRouterLearnsOfTwoCrashesFromTheStore() throws Exception {
+        TestRouter cutOff = router();
         mRouter.crash(CONTENT, 1);
         assertThat(mRows.mAll).isEmpty();
         mRouter.crash(CONTENT, 2);
-        settle();
+        drainLoop();
         assertThat(mRows.mAll.keySet()).containsExactly("suspect/" + Hashes.text(CONTENT));
-        onLoop(() -> cutOff.hear(STORE_AHEAD));
+        onLoop(() -> cutOff.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         assertThat(cutOff.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
         cutOff.crash(CONTENT, 3);
         assertThat(cutOff.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
     }
 
-    /** Requests beside two ends are many in a storm; beyond a bound only messages tell of them. */
+    /** A burst of suspects must not fill the store. */
     @Test
-    void warningsAreBounded() throws Exception {
+    void suspectRowsAreBounded() throws Exception {
         for (int i = 1; i <= 1_000; i++) {
             mRouter.crash(i, 1);
             mRouter.crash(i, 2);
@@ -292,96 +296,99 @@
         assertThat(mRows.mAll.size()).isAtMost(MAX_ROWS);
     }
 
-    /** Two routers that convict at once leave one row, and neither writes again and again. */
+    /** Concurrent convictions must leave one row and not repeat their writes. */
     @Test
     void routersThatConvictAtOnceAgree() throws Exception {
-        Router other = router();
+        TestRouter other = router();
         mRouter.convict(CONTENT);
         other.convict(CONTENT);
-        settle();
+        drainLoop();
         assertThat(mRows.refused()).isEqualTo(1);
         assertThat(mRows.mWrites).isAtMost(2);
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
     }
 
     @Test
-    void whileTheStoreIsAwayItIsRefusedAndWrittenLater() throws Exception {
-        mRows.mAway = true;
+    void duringAStoreOutageARequestIsRefusedAndItsRowWrittenLater() throws Exception {
+        mRows.mUnavailable = true;
         mRouter.convict(CONTENT);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
-        mRows.mAway = false;
+        mRows.mUnavailable = false;
         await(() -> mRows.refused() == 1);
     }
 
     @Test
-    void whatWasOnlyBesideTwoEndsIsServedAndToldToBeHarmless() throws Exception {
+    void anAnswerAfterTwoCrashesClearsTheRequest() throws Exception {
         mRouter.crash(CONTENT, 1);
         mRouter.crash(CONTENT, 2);
         onLoop(() -> mRouter.mQuarantine.onAnswered(CONTENT));
-        assertThat(call(() -> mRouter.mQuarantine.news()))
+        assertThat(call(() -> mRouter.mQuarantine.digest()))
                 .containsExactly(CrashFact.answered(CONTENT));
         mRouter.crash(CONTENT, 3);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
     }
 
-    // ---------------------------------------------------------------- answers that acquit
+    // ---------------------------------------------------------------- acquittals
 
-    /** A target that began the request before it was refused has answered it. */
+    /** A target may answer a request that it started before the conviction. */
     @Test
     void anAnswerAfterTheConvictionReleasesTheRequest() throws Exception {
-        Router other = router();
+        TestRouter other = router();
         mRouter.convict(CONTENT);
-        onLoop(() -> other.hear(STORE_AHEAD));
+        onLoop(() -> other.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         onLoop(() -> mRouter.mQuarantine.onAnswered(CONTENT));
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
-        settle();
+        drainLoop();
         assertThat(mRouter.row().isReleased()).isTrue();
-        onLoop(() -> other.hear(STORE_AHEAD));
+        onLoop(() -> other.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
     }
 
-    /** Each end and each answer is seen by one router; the store is away all the while. */
+    /** Acquittals must reach other routers by messages during a store outage. */
     @Test
     void routersTellEachOtherOfTheAnswerWithoutTheStore() throws Exception {
-        Router other = router();
-        mRows.mAway = true;
+        TestRouter other = router();
+        mRows.mUnavailable = true;
         mRouter.convict(CONTENT);
         other.convict(CONTENT);
         onLoop(() -> mRouter.mQuarantine.onAnswered(CONTENT));
-        List<CrashFact> news = call(() -> mRouter.mQuarantine.news());
-        onLoop(() -> other.mQuarantine.take(news));
+        List<CrashFact> digest = call(() -> mRouter.mQuarantine.digest());
+        onLoop(() -> other.mQuarantine.apply(digest));
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
-        passTerm(other, TEN_MINUTES / 2);
+        advanceClock(other, TEN_MINUTES / 2);
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
     }
 
-    /** A row that refuses and the answer cross: the answer counts. */
+    /** An answer wins against a row that arrives after it. */
     @Test
     void aRowThatComesAfterTheAnswerIsReleased() throws Exception {
-        Router other = router();
+        TestRouter other = router();
         onLoop(() -> other.mQuarantine.onAnswered(CONTENT));
         mRouter.convict(CONTENT);
-        onLoop(() -> other.hear(STORE_AHEAD));
+        onLoop(() -> other.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
         await(() -> mRouter.row().isReleased());
     }
 
-    /** Released is not acquitted for ever: new software of targets may not bear the request. */
+    /**
+     * An earlier acquittal must not prevent a later conviction, for instance after an upgrade of
+     * the targets.
+     */
     @Test
     void aReleasedRequestCanBeConvictedAgain() throws Exception {
         mRouter.convict(CONTENT);
         onLoop(() -> mRouter.mQuarantine.onAnswered(CONTENT));
-        settle();
-        passTerm(mRouter, TEN_MINUTES);
+        drainLoop();
+        advanceClock(mRouter, TEN_MINUTES);
         for (int i = 11; i <= 13; i++) {
             mRouter.crash(CONTENT, i);
         }
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
     }
 
-    /** Each refused request has ended three targets; of a thousand the last ones are kept. */
+    /** Many different convictions must not fill the store or the cache; the latest are kept. */
     @Test
-    void aFloodOfDifferentOnesIsBounded() throws Exception {
+    void quarantineRowsAreBounded() throws Exception {
         for (int i = 1; i <= 1_000; i++) {
             mRouter.convict(i);
         }
@@ -392,20 +399,20 @@
 
     // ---------------------------------------------------------------- terms and trials
 
-    private void passTerm(Router r, long millis) {
+    private void advanceClock(TestRouter r, long millis) {
         r.mClock.addAndGet(millis);
     }
 
     @Test
-    void afterItsTermOneRouterMayTryItOnce() throws Exception {
-        Router other = router();
+    void afterItsTermOneRouterMayTryTheRequestOnce() throws Exception {
+        TestRouter other = router();
         mRouter.convict(CONTENT);
-        onLoop(() -> other.hear(STORE_AHEAD));
-        passTerm(mRouter, TEN_MINUTES);
-        passTerm(other, TEN_MINUTES);
+        onLoop(() -> other.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
+        advanceClock(mRouter, TEN_MINUTES);
+        advanceClock(other, TEN_MINUTES);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.TRY);
-        assertThat(mRouter.ask(CONTENT)).isTrue();
-        assertThat(other.ask(CONTENT)).isFalse();
+        assertThat(mRouter.requestTrial(CONTENT)).isTrue();
+        assertThat(other.requestTrial(CONTENT)).isFalse();
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
     }
@@ -413,8 +420,8 @@
     @Test
     void aTrialThatEndsATargetDoublesTheTerm() throws Exception {
         mRouter.convict(CONTENT);
-        passTerm(mRouter, TEN_MINUTES);
-        mRouter.ask(CONTENT);
+        advanceClock(mRouter, TEN_MINUTES);
+        mRouter.requestTrial(CONTENT);
         onLoop(() -> mRouter.mQuarantine.onTrialEnded(CONTENT, false));
         assertThat(mRouter.row().termMillis()).isEqualTo(2 * TEN_MINUTES);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
@@ -423,53 +430,54 @@
     @Test
     void aTrialThatIsAnsweredReleasesTheRequest() throws Exception {
         mRouter.convict(CONTENT);
-        passTerm(mRouter, TEN_MINUTES);
-        mRouter.ask(CONTENT);
+        advanceClock(mRouter, TEN_MINUTES);
+        mRouter.requestTrial(CONTENT);
         onLoop(() -> mRouter.mQuarantine.onTrialEnded(CONTENT, true));
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
         mRouter.convict(CONTENT);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
     }
 
-    /** Nobody is allowed to try by a clock that nobody can agree on. */
+    /** Trials require a compare-and-set in the store. */
     @Test
-    void whileTheStoreIsAwayNobodyTries() throws Exception {
+    void duringAStoreOutageNoTrialIsGranted() throws Exception {
         mRouter.convict(CONTENT);
-        passTerm(mRouter, TEN_MINUTES);
-        mRows.mAway = true;
-        assertThat(mRouter.ask(CONTENT)).isFalse();
+        advanceClock(mRouter, TEN_MINUTES);
+        mRows.mUnavailable = true;
+        assertThat(mRouter.requestTrial(CONTENT)).isFalse();
     }
 
-    /** A host's steady clock may not count the time in which it was suspended. */
+    /** A host's steady clock may not advance during suspension. */
     @Test
-    void aSuspendedRouterTakesTermsForTooLongNeverTooShort() throws Exception {
-        Router suspended = router();
+    void aSuspendedRouterNeverShortensATerm() throws Exception {
+        TestRouter suspended = router();
         mRouter.convict(CONTENT);
-        onLoop(() -> suspended.hear(STORE_AHEAD));
-        passTerm(mRouter, TEN_MINUTES);
+        onLoop(() -> suspended.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
+        advanceClock(mRouter, TEN_MINUTES);
         assertThat(suspended.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
-        onLoop(() -> suspended.hear(STORE_AHEAD + TEN_MINUTES));
+        onLoop(() -> suspended.receiveRows(STORE_CLOCK_OFFSET_MILLIS + TEN_MINUTES));
         assertThat(suspended.verdict(CONTENT)).isEqualTo(Verdict.TRY);
-        onLoop(() -> suspended.hear(STORE_AHEAD)); // late news turns nothing back
+        // A delayed message must not move the clock back.
+        onLoop(() -> suspended.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         assertThat(suspended.verdict(CONTENT)).isEqualTo(Verdict.TRY);
     }
 
     // ---------------------------------------------------------------- rows
 
-    /** A router that has just started reads the rows before it knows anything else of them. */
+    /** A router reads the quarantine rows at its start. */
     @Test
     void aRouterThatHasJustStartedKnowsWhatIsRefused() throws Exception {
         mRouter.convict(CONTENT);
-        Router started = new Router();
+        TestRouter started = new TestRouter();
         onLoop(started.mFollower::start);
         assertThat(started.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
     }
 
-    /** One that started while the store is away gets the rows from another router. */
+    /** A router that starts during a store outage gets the rows in a snapshot. */
     @Test
-    void rowsOfAnotherRouterRefuseWithoutTheStoresClock() throws Exception {
+    void rowsFromASnapshotRefuseWithoutTheStoreClock() throws Exception {
         mRouter.convict(CONTENT);
-        Router started = new Router();
+        TestRouter started = new TestRouter();
         onLoop(() -> started.mFollower.onSnapshot(List.copyOf(mRows.mAll.values())));
         assertThat(started.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
     }
@@ -482,7 +490,7 @@
     }
 
     @Test
-    void rowsThatNoRouterWritesChangeNothing() throws Exception {
+    void malformedRowsAreIgnored() throws Exception {
         Map<String, String> rows = new TreeMap<>();
         rows.put("quarantine/", "1,2,");
         rows.put("quarantine/xyz", "1,2,");
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
@@ -23,20 +23,20 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** Tests how a router keeps up with the rows that all routers share. */
+/** Tests that a router applies broadcast rows and reads the store after gaps. */
 class RowFollowerTest {
     private static final long AWAIT_MILLIS = 5_000;
 
-    /** Longer than the pause before a router waits for rows after it has read them all. */
+    /** Longer than the delay between the first read and the first long poll. */
     private static final long SETTLE_MILLIS = 600;
 
     private static final InetSocketAddress OWN = new InetSocketAddress("127.0.0.1", 5_000);
     private static final InetSocketAddress OTHER = new InetSocketAddress("127.0.0.1", 6_000);
 
-    /** Is a store whose waits never end, and whose history is gone for whoever asks. */
-    private static final class Rows implements SharedRows {
+    /** Store whose long polls never complete and whose history is unavailable. */
+    private static final class FakeSharedRows implements SharedRows {
         private final List<SharedRow> mAll = new CopyOnWriteArrayList<>();
-        private volatile int mWaits;
+        private volatile int mLongPolls;
         private volatile int mReads;
 
         @Override
@@ -52,7 +52,7 @@
             if (waitMillis == 0) {
                 return CompletableFuture.failedFuture(SourceException.historyGone());
             }
-            mWaits++;
+            mLongPolls++;
             return new CompletableFuture<>();
         }
 
@@ -76,24 +76,25 @@
     private final MultiThreadIoEventLoopGroup mGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop mLoop = (EventLoop) mGroup.next();
-    private final Rows mRows = new Rows();
-    private final List<SharedRow> mTaken = new CopyOnWriteArrayList<>();
+    private final FakeSharedRows mRows = new FakeSharedRows();
+    private final List<SharedRow> mApplied = new CopyOnWriteArrayList<>();
     private final RowFollower mFollower = follower();
 
     private RowFollower follower() {
         SplittableRandom random = new SplittableRandom(1);
-        PeerLink link =
-                new PeerLink(mLoop, new Knowledge.Self("own", OWN), random, (m, sender) -> {});
-        FollowerBase.Surroundings around =
-                new FollowerBase.Surroundings(
+        PeerGroup peers =
+                new PeerGroup(
+                        mLoop, new Knowledge.RouterIdentity("own", OWN), random, (m, sender) -> {});
+        FollowerBase.Context context =
+                new FollowerBase.Context(
                         mLoop,
                         Clock.steady(),
                         random,
-                        link,
-                        new SourceWatch(() -> {}),
+                        peers,
+                        new StoreHealth(() -> {}),
                         new StoreEra(),
                         () -> true);
-        return new RowFollower(around, mRows, mTaken::add);
+        return new RowFollower(context, mRows, mApplied::add);
     }
 
     @AfterEach
@@ -120,28 +121,28 @@
     }
 
     @Test
-    void rowsThatAreToldAreTakenWithoutAnotherRead() throws Exception {
+    void broadcastRowsAreAppliedWithoutAnotherRead() throws Exception {
         start();
         SharedRow row = row("seats/p", "a,b", 11);
         onLoop(() -> mFollower.onMessage(message(9, 12, row), OTHER));
-        assertThat(mTaken).containsExactly(row);
+        assertThat(mApplied).containsExactly(row);
         assertThat(mRows.mReads).isEqualTo(1);
     }
 
     @Test
-    void rowsToldTwiceOrTooLateChangeNothing() throws Exception {
+    void duplicateAndOutdatedRowsAreIgnored() throws Exception {
         start();
         SharedRow older = row("seats/p", "a,b", 11);
         SharedRow newer = row("seats/p", "a,c", 13);
         onLoop(() -> mFollower.onMessage(message(9, 14, newer), OTHER));
         onLoop(() -> mFollower.onMessage(message(9, 12, older), OTHER));
         onLoop(() -> mFollower.onMessage(message(9, 14, newer), OTHER));
-        assertThat(mTaken).containsExactly(newer);
+        assertThat(mApplied).containsExactly(newer);
     }
 
-    /** Each gap began another loop of waits, so that one router soon waited several times over. */
+    /** Guards against a gap that starts a second polling loop. */
     @Test
-    void gapsAreReadAndLeaveOneWait() throws Exception {
+    void gapsAreReadAndLeaveOneLongPoll() throws Exception {
         start();
         List<SharedRow> expected = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -152,7 +153,7 @@
             onLoop(() -> mFollower.onMessage(message(since, since + 1), OTHER));
         }
         Thread.sleep(SETTLE_MILLIS);
-        assertThat(mTaken).containsExactlyElementsIn(expected);
-        assertThat(mRows.mWaits).isEqualTo(1);
+        assertThat(mApplied).containsExactlyElementsIn(expected);
+        assertThat(mRows.mLongPolls).isEqualTo(1);
     }
 }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/RowTableTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/RowTableTest.java
@@ -17,7 +17,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** Tests what holds of the rows that routers share when the store comes back from a copy. */
+/** Tests which rows remain valid after the store was restored from a backup. */
 class RowTableTest {
     private final RowTable mTable = new RowTable();
 
@@ -25,108 +25,106 @@
         return new SharedRow(key, value, StorePosition.of(era, revision));
     }
 
-    /** Lets the store come back in era 2, with such rows. */
-    private List<SharedRow> comeBack(long since, SharedRow... rows) {
-        List<SharedRow> differing = mTable.differing(List.of(rows), 2);
-        return mTable.turn(StorePosition.of(1, since), 2, differing);
+    /** Restores the store in era 2 with these rows. */
+    private List<SharedRow> restoreStore(long since, SharedRow... rows) {
+        List<SharedRow> differing = mTable.diff(List.of(rows), 2);
+        return mTable.advanceEra(StorePosition.of(1, since), 2, differing);
     }
 
     @Example
-    void aRowThatTheCopyHoldsIsKnownAtItsNewPosition() {
-        mTable.take(row(1, 5, "a", "x"));
-        assertThat(comeBack(9, row(2, 5, "a", "x"))).isEmpty();
+    void aRowInTheBackupMovesToItsNewPosition() {
+        mTable.apply(row(1, 5, "a", "x"));
+        assertThat(restoreStore(9, row(2, 5, "a", "x"))).isEmpty();
         assertThat(mTable.find("a").orElseThrow().position()).isEqualTo(StorePosition.of(2, 5));
-        assertThat(mTable.ahead()).isEmpty();
+        assertThat(mTable.unsynced()).isEmpty();
     }
 
     @Example
-    void anOlderRowDoesNotTakeThePlaceOfTheNewest() {
-        mTable.take(row(1, 8, "a", "new"));
-        assertThat(comeBack(9, row(2, 5, "a", "old"))).isEmpty();
-        assertThat(mTable.ahead()).containsExactly(row(2, 5, "a", "new"));
-        assertThat(mTable.take(row(2, 7, "a", "new"))).isTrue(); // written again
-        assertThat(mTable.ahead()).isEmpty();
+    void anOlderRowDoesNotReplaceTheNewest() {
+        mTable.apply(row(1, 8, "a", "new"));
+        assertThat(restoreStore(9, row(2, 5, "a", "old"))).isEmpty();
+        assertThat(mTable.unsynced()).containsExactly(row(2, 5, "a", "new"));
+        assertThat(mTable.apply(row(2, 7, "a", "new"))).isTrue(); // written again
+        assertThat(mTable.unsynced()).isEmpty();
     }
 
     @Example
-    void aRowThatTheCopyLacksHolds() {
-        mTable.take(row(1, 8, "a", "new"));
-        comeBack(9);
-        assertThat(mTable.ahead()).containsExactly(row(2, 0, "a", "new"));
-        assertThat(mTable.take(SharedRow.absent("a", 2))).isFalse();
-        assertThat(mTable.take(row(2, 6, "a", "another's"))).isTrue();
+    void aRowMissingFromTheBackupIsKept() {
+        mTable.apply(row(1, 8, "a", "new"));
+        restoreStore(9);
+        assertThat(mTable.unsynced()).containsExactly(row(2, 0, "a", "new"));
+        assertThat(mTable.apply(SharedRow.absent("a", 2))).isFalse();
+        assertThat(mTable.apply(row(2, 6, "a", "another's"))).isTrue();
         assertThat(mTable.find("a").orElseThrow().value()).isEqualTo("another's");
     }
 
-    /** Revisions are given out again: the same one may stand for other content. */
+    /** A restored store reuses revisions, so an equal revision does not mean equal content. */
     @Example
-    void aRevisionThatIsGivenOutAgainIsNoSameRow() {
-        mTable.take(row(1, 8, "a", "mine"));
-        comeBack(9, row(2, 8, "a", "another's"));
-        assertThat(mTable.isAhead("a")).isTrue();
+    void aReusedRevisionWithOtherContentIsADifference() {
+        mTable.apply(row(1, 8, "a", "mine"));
+        restoreStore(9, row(2, 8, "a", "another's"));
+        assertThat(mTable.isUnsynced("a")).isTrue();
     }
 
     @Example
-    void whatHadBeenRemovedDoesNotComeBack() {
-        mTable.take(row(1, 4, "a", "x"));
-        mTable.take(SharedRow.absent("a", 1));
-        assertThat(comeBack(9, row(2, 4, "a", "x"))).isEmpty();
+    void aRemovedRowIsNotResurrected() {
+        mTable.apply(row(1, 4, "a", "x"));
+        mTable.apply(SharedRow.absent("a", 1));
+        assertThat(restoreStore(9, row(2, 4, "a", "x"))).isEmpty();
         assertThat(mTable.find("a").isPresent()).isFalse();
-        assertThat(mTable.takeRevived()).containsExactly(row(2, 4, "a", "x"));
-        assertThat(mTable.takeRevived()).isEmpty();
+        assertThat(mTable.drainResurrected()).containsExactly(row(2, 4, "a", "x"));
+        assertThat(mTable.drainResurrected()).isEmpty();
     }
 
-    /**
-     * Another router has removed it again, and it has been written anew: at the next return this
-     * router would remove a row that is there to stay.
-     */
+    /** A stale list of resurrected rows would remove a row that was written again. */
     @Example
-    void whatWasRevivedOnceAndWrittenAnewIsNotRemovedAtTheNextReturn() {
-        mTable.take(row(1, 4, "a", "x"));
-        mTable.take(SharedRow.absent("a", 1));
-        comeBack(9, row(2, 4, "a", "x"));
-        mTable.take(row(2, 6, "a", "new"));
+    void aResurrectedRowWrittenAgainIsKeptAtTheNextRestore() {
+        mTable.apply(row(1, 4, "a", "x"));
+        mTable.apply(SharedRow.absent("a", 1));
+        restoreStore(9, row(2, 4, "a", "x"));
+        mTable.apply(row(2, 6, "a", "new"));
         List<SharedRow> read = List.of(row(3, 6, "a", "new"));
-        mTable.turn(StorePosition.of(2, 9), 3, mTable.differing(read, 3));
-        assertThat(mTable.takeRevived()).isEmpty();
+        mTable.advanceEra(StorePosition.of(2, 9), 3, mTable.diff(read, 3));
+        assertThat(mTable.drainResurrected()).isEmpty();
         assertThat(mTable.find("a").orElseThrow().value()).isEqualTo("new");
     }
 
     @Example
-    void whatIsToldOfAnEarlierEraChangesNothing() {
-        mTable.take(row(1, 4, "a", "x"));
-        comeBack(9, row(2, 4, "a", "x"));
-        assertThat(mTable.take(row(1, 50, "a", "late"))).isFalse();
-        assertThat(mTable.take(SharedRow.absent("a", 1))).isFalse();
+    void rowsOfAnEarlierEraAreIgnored() {
+        mTable.apply(row(1, 4, "a", "x"));
+        restoreStore(9, row(2, 4, "a", "x"));
+        assertThat(mTable.apply(row(1, 50, "a", "late"))).isFalse();
+        assertThat(mTable.apply(SharedRow.absent("a", 1))).isFalse();
         assertThat(mTable.find("a").orElseThrow().value()).isEqualTo("x");
     }
 
     /**
-     * It was told by its writer alone: the teller of the return cannot know whether it is there.
+     * Whether the store has a row is unknown if only its writer announced it and the router that
+     * computed the difference did not know it.
      */
     @Example
-    void aRowThatTheTellerDidNotKnowIsWrittenAgain() {
-        mTable.take(row(1, 12, "a", "x"));
-        mTable.turn(StorePosition.of(1, 9), 2, List.of());
-        assertThat(mTable.ahead()).containsExactly(row(2, 0, "a", "x"));
+    void aRowUnknownToTheReaderIsUnsynced() {
+        mTable.apply(row(1, 12, "a", "x"));
+        mTable.advanceEra(StorePosition.of(1, 9), 2, List.of());
+        assertThat(mTable.unsynced()).containsExactly(row(2, 0, "a", "x"));
     }
 
-    /** Its writer has told of it before anybody told of the return. */
+    /** The announcement of a write may arrive before that of the restore. */
     @Example
-    void aRowWrittenAfterTheReturnIsNotTakenForALostOne() {
-        mTable.take(row(1, 5, "a", "x"));
-        mTable.take(row(2, 7, "a", "y"));
-        mTable.turn(StorePosition.of(1, 9), 2, List.of(row(2, 4, "a", "w")));
-        assertThat(mTable.ahead()).isEmpty();
+    void aRowWrittenAfterTheRestoreIsNotUnsynced() {
+        mTable.apply(row(1, 5, "a", "x"));
+        mTable.apply(row(2, 7, "a", "y"));
+        mTable.advanceEra(StorePosition.of(1, 9), 2, List.of(row(2, 4, "a", "w")));
+        assertThat(mTable.unsynced()).isEmpty();
         assertThat(mTable.find("a").orElseThrow()).isEqualTo(row(2, 7, "a", "y"));
     }
 
     /**
-     * Two routers that know the same: one reads all after the return, the other takes what that one
-     * tells. Whatever the copy holds, both know the same again, and nothing newer is lost.
+     * A table updated by a difference must equal the table that computed it, and neither may lose
+     * newer values.
      */
     @Property(tries = 300, seed = "42", shrinking = ShrinkingMode.OFF)
-    void whoeverIsToldKnowsWhatTheReaderKnows(@ForAll long seed) {
+    void applyingADiffMatchesTheReadersTable(@ForAll long seed) {
         Random random = new Random(seed);
         RowTable reader = new RowTable();
         RowTable other = new RowTable();
@@ -142,8 +140,8 @@
                         random.nextInt(4) == 0
                                 ? SharedRow.absent(key, era)
                                 : row(era, revision, key, "v" + random.nextInt(3));
-                reader.take(r);
-                other.take(r);
+                reader.apply(r);
+                other.apply(r);
                 store.put(key, r);
                 if (random.nextInt(6) == 0) {
                     copy = new TreeMap<>(store);
@@ -159,11 +157,11 @@
                 }
             }
             Collections.shuffle(read, random);
-            List<SharedRow> differing = reader.differing(read, era + 1);
-            assertThat(other.turn(since, era + 1, differing))
-                    .isEqualTo(reader.turn(since, era + 1, differing));
-            assertThat(other.known()).containsExactlyElementsIn(reader.known());
-            assertThat(other.ahead()).containsExactlyElementsIn(reader.ahead());
+            List<SharedRow> differing = reader.diff(read, era + 1);
+            assertThat(other.advanceEra(since, era + 1, differing))
+                    .isEqualTo(reader.advanceEra(since, era + 1, differing));
+            assertThat(other.rows()).containsExactlyElementsIn(reader.rows());
+            assertThat(other.unsynced()).containsExactlyElementsIn(reader.unsynced());
             before.forEach(
                     (key, r) ->
                             assertThat(reader.find(key).orElseThrow().value())
@@ -177,7 +175,7 @@
 
     private static Map<String, SharedRow> contents(RowTable t) {
         Map<String, SharedRow> m = new TreeMap<>();
-        t.known().forEach(r -> m.put(r.key(), r));
+        t.rows().forEach(r -> m.put(r.key(), r));
         return m;
     }
 }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/StoreEraTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/StoreEraTest.java
@@ -7,7 +7,7 @@
 
 import java.util.Map;
 
-/** Tests which eras of the store a router believes. */
+/** Tests which eras of the store a router accepts. */
 class StoreEraTest {
     private final StoreEra mEra = new StoreEra();
 
@@ -15,26 +15,26 @@
         return mEra.accepts(StorePosition.of(era, 7), "store");
     }
 
-    /** A router that starts may find the store in any era: that is no return. */
+    /** A starting router may find the store in any era, which is not a restore. */
     @Test
-    void theFirstIsBelieved() {
+    void theFirstEraIsAccepted() {
         assertThat(accepts(2_000_000)).isTrue();
         assertThat(mEra.newest()).isEqualTo(2_000_000);
-        assertThat(mEra.returns()).isEqualTo(0);
+        assertThat(mEra.restores()).isEqualTo(0);
     }
 
     @Test
-    void aLaterOneIsAReturn() {
+    void aLaterEraIsARestore() {
         accepts(1);
         assertThat(accepts(2)).isTrue();
         assertThat(accepts(2)).isTrue();
         assertThat(accepts(5)).isTrue(); // some were missed
         assertThat(mEra.newest()).isEqualTo(5);
-        assertThat(mEra.returns()).isEqualTo(2);
+        assertThat(mEra.restores()).isEqualTo(2);
     }
 
     @Test
-    void whatCannotBeIsCountedAndChangesNothing() {
+    void anImplausibleEraIsCountedAndIgnored() {
         accepts(3);
         assertThat(accepts(2)).isFalse();
         assertThat(accepts(0)).isFalse();
@@ -44,9 +44,9 @@
         assertThat(accepts(4)).isTrue();
     }
 
-    /** A store that names no era never comes back from a copy. */
+    /** A store without eras is never restored from a backup. */
     @Test
-    void noneIsNamedAtAll() {
+    void aStoreWithoutErasIsAccepted() {
         assertThat(accepts(0)).isTrue();
         assertThat(accepts(0)).isTrue();
         assertThat(mEra.refused()).isEmpty();
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
@@ -26,48 +26,43 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Tests how soon a router that was cut off knows which targets have left.
- *
- * <p>Seen: two routers were cut off for eight seconds, and a target's row went half a second after
- * they were back. Both kept the target for the time in which rows may lapse, which began when they
- * first tried the store again, and then until their next regular read: 2.3 and 2.5 s after the row
- * had gone, where two are allowed. The routers' lines showed {@code store_back} 0.1 and 0.8 s after
- * the cut had ended, and {@code target_gone} up to a second after the kept time.
+ * Guards against keeping a removed target past the grace period after an outage, and against a
+ * delayed read after a partition.
  */
 class TargetFollowerTest {
     private static final long AWAIT_MILLIS = 15_000;
 
-    /** Rows that have lapsed are back within so long; see the directory of targets. */
-    private static final long KEPT_MILLIS = 2_100;
+    /** Grace period of the target directory for missing targets. */
+    private static final long GRACE_MILLIS = 2_100;
 
     private static final long SLACK_MILLIS = 400;
 
-    /** So long that the regular reads come just before and long after the kept time's end. */
+    /** At this interval no regular read falls shortly after the end of the grace period. */
     private static final long PAUSE_MILLIS = 1_700;
 
     private final MultiThreadIoEventLoopGroup mGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop mLoop = (EventLoop) mGroup.next();
     private final Clock mClock = Clock.steady();
-    private final Source mSource = new Source();
+    private final FakeFleetSource mSource = new FakeFleetSource();
     private TargetFollower mFollower;
-    private volatile long mBackAt;
+    private volatile long mRecoveredAt;
 
-    /** Is a store that can be away, or say nothing. */
-    private static final class Source implements FleetSource {
+    /** Store that can fail or not respond. */
+    private static final class FakeFleetSource implements FleetSource {
         private volatile List<TargetEntry> mList = List.of(entry("a"), entry("b"));
-        private volatile boolean mAway;
-        private volatile boolean mSilent;
+        private volatile boolean mUnavailable;
+        private volatile boolean mUnresponsive;
         private volatile int mReads;
         private volatile long mRevision = 1;
 
         @Override
         public CompletableFuture<Versioned<List<TargetEntry>>> readTargets() {
             mReads++;
-            if (mSilent) {
+            if (mUnresponsive) {
                 return new CompletableFuture<>();
             }
-            return mAway
+            return mUnavailable
                     ? CompletableFuture.failedFuture(SourceException.of("away"))
                     : CompletableFuture.completedFuture(
                             new Versioned<>(StorePosition.of(0, mRevision), 0, mList));
@@ -98,22 +93,29 @@
     void start() {
         SplittableRandom random = new SplittableRandom(1);
         InetSocketAddress own = new InetSocketAddress("127.0.0.1", 5_000);
-        PeerLink link = new PeerLink(mLoop, new Knowledge.Self("h", own), random, (m, s) -> {});
-        SourceWatch watch = new SourceWatch(this::onBack);
+        PeerGroup peers =
+                new PeerGroup(mLoop, new Knowledge.RouterIdentity("h", own), random, (m, s) -> {});
+        StoreHealth storeHealth = new StoreHealth(this::onRecovered);
         mFollower =
                 new TargetFollower(
-                        new FollowerBase.Surroundings(
-                                mLoop, mClock, random, link, watch, new StoreEra(), () -> true),
+                        new FollowerBase.Context(
+                                mLoop,
+                                mClock,
+                                random,
+                                peers,
+                                storeHealth,
+                                new StoreEra(),
+                                () -> true),
                         mSource,
                         PAUSE_MILLIS,
                         id -> {});
         mLoop.execute(mFollower::start);
     }
 
-    private void onBack() {
+    private void onRecovered() {
         long now = mClock.nowMillis();
         mFollower.targets().onSourceBack(now, now - mFollower.confirmedAt());
-        mBackAt = now;
+        mRecoveredAt = now;
     }
 
     @AfterEach
@@ -135,28 +137,28 @@
     }
 
     @Test
-    void whatIsKeptIsLookedAtAgainWhenItsTimeIsOver() throws Exception {
+    void theListIsReadAgainWhenTheGracePeriodEnds() throws Exception {
         await(() -> knows("b"));
-        mSource.mAway = true;
+        mSource.mUnavailable = true;
         long lost = mClock.nowMillis();
         await(() -> mClock.nowMillis() - lost > 2_300 + PAUSE_MILLIS);
         mSource.mList = List.of(entry("a"));
         mSource.mRevision = 2;
-        mSource.mAway = false;
+        mSource.mUnavailable = false;
         await(() -> !knows("b"));
-        long kept = mClock.nowMillis() - mBackAt;
-        assertThat(kept).isAtLeast(KEPT_MILLIS);
-        assertThat(kept).isAtMost(KEPT_MILLIS + SLACK_MILLIS);
+        long kept = mClock.nowMillis() - mRecoveredAt;
+        assertThat(kept).isAtLeast(GRACE_MILLIS);
+        assertThat(kept).isAtMost(GRACE_MILLIS + SLACK_MILLIS);
     }
 
-    /** Other routers are heard again after a silence: the cut is over, also if a read hangs. */
+    /** Must not wait for a pending read that hangs. */
     @Test
-    void aRouterThatIsBackReadsAtOnce() throws Exception {
+    void aReconnectedRouterReadsImmediately() throws Exception {
         await(() -> knows("b"));
-        mSource.mSilent = true;
+        mSource.mUnresponsive = true;
         int before = mSource.mReads;
-        await(() -> mSource.mReads > before); // and no answer comes
-        mSource.mSilent = false;
+        await(() -> mSource.mReads > before); // and does not complete
+        mSource.mUnresponsive = false;
         mSource.mList = List.of(entry("a"), entry("b"), entry("c"));
         mSource.mRevision = 2;
         long triedAt = mClock.nowMillis();
