--- a/forkseam-core/src/main/java/org/forkseam/core/admit/ColdStartLimiter.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/admit/ColdStartLimiter.java
@@ -57,7 +57,7 @@
 
     /** Returns the targets of a pool that may receive another request now. */
     public List<Target> admissible(List<Target> pool, ColdStart coldStart, long nowMillis) {
-        if (!coldStart.isLimited()
+        if (!coldStart.hasLimit()
                 || pool.stream().noneMatch(t -> t.isCold(coldStart.millis(), nowMillis))) {
             return pool;
         }
@@ -87,7 +87,7 @@
 
     /** Records a request sent to a target. */
     public void onRequestSent(Target t, ColdStart coldStart, long nowMillis) {
-        if (coldStart.isLimited() && t.isCold(coldStart.millis(), nowMillis)) {
+        if (coldStart.hasLimit() && t.isCold(coldStart.millis(), nowMillis)) {
             sentInWindow(t, nowMillis).addLast(nowMillis);
         } else if (!mSent.isEmpty()) {
             mSent.remove(t.entry().id());
--- a/forkseam-core/src/main/java/org/forkseam/core/claim/ClaimRow.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/claim/ClaimRow.java
@@ -10,8 +10,7 @@
  *     resolved by reading the row
  * @param fingerprint identifies the request's content
  * @param answer for DONE the complete response, or empty if it is too large to store
- * @param claimedAtMillis time of the claim by the owner's clock; used for retention, never for
- *     takeover
+ * @param atMillis time of the claim by the owner's clock; used for retention, never for takeover
  */
 public record ClaimRow(
         State state,
@@ -20,7 +19,7 @@
         String nonce,
         String fingerprint,
         String answer,
-        long claimedAtMillis) {
+        long atMillis) {
     /** State of a claimed request. */
     public enum State {
         /** The owner has sent the request to its target, or may do so. */
@@ -36,6 +35,6 @@
 
     /** Returns a copy with the given state and response. */
     public ClaimRow withState(State state, String answer) {
-        return new ClaimRow(state, owner, incarnation, nonce, fingerprint, answer, claimedAtMillis);
+        return new ClaimRow(state, owner, incarnation, nonce, fingerprint, answer, atMillis);
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/traffic/ColdStart.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/traffic/ColdStart.java
@@ -12,7 +12,7 @@
     public static final ColdStart NONE = new ColdStart(0, 0);
 
     /** Returns whether the request rate of cold targets is limited. */
-    public boolean isLimited() {
+    public boolean hasLimit() {
         return perSecond > 0;
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ClaimSweeper.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ClaimSweeper.java
@@ -101,7 +101,7 @@
     }
 
     private boolean isOver(Row row) {
-        long age = mClock.nowMillis() - ClaimStore.seen(row).row().claimedAtMillis();
+        long age = mClock.nowMillis() - ClaimStore.seen(row).row().atMillis();
         return age > ClaimRow.RETENTION_MILLIS + SLACK_MILLIS;
     }
 
