--- a/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
@@ -7,9 +7,9 @@
 import org.forkseam.direct.admin.AdminService;
 import org.forkseam.direct.admin.OperatorPages;
 import org.forkseam.direct.flow.RouterService;
-import org.forkseam.direct.io.EarlyListener;
+import org.forkseam.direct.io.EarlyServerSocket;
 import org.forkseam.direct.know.Knowledge;
-import org.forkseam.direct.spi.CallerProtocol;
+import org.forkseam.direct.spi.HeaderCodec;
 
 import java.util.Map;
 import java.util.concurrent.ExecutionException;
@@ -22,7 +22,7 @@
  */
 public final class DirectRouter {
     /** Reads of the list of targets that fit into the time in which a leaving one is noticed. */
-    private static final double READS_PER_LEAVE = 2.5;
+    private static final double READS_PER_DRAIN = 2.5;
 
     private final Kernel mKernel;
     private final Knowledge mKnowledge;
@@ -42,10 +42,10 @@
      */
     public static DirectRouter of(
             RouterSettings settings,
-            EarlyListener listener,
+            EarlyServerSocket listener,
             EventLoop loop,
             Clock clock,
-            CallerProtocol protocol,
+            HeaderCodec protocol,
             Knowledge.Sources sources) {
         RandomGenerator random = new java.util.SplittableRandom(settings.host().hashCode());
         Knowledge knowledge =
@@ -54,21 +54,23 @@
                         clock,
                         sources,
                         random,
-                        new Knowledge.Self(settings.host(), settings.notices()),
-                        listMillis(settings.bounds()));
+                        new Knowledge.Self(settings.host(), settings.noticeAddress()),
+                        targetListMillis(settings.bounds()));
         RouterService router =
                 RouterService.of(
                         loop,
                         clock,
                         settings,
                         new RouterService.Parts(listener, knowledge, protocol, random));
-        Kernel kernel = Kernel.of(settings.bounds().stopMillis());
+        Kernel kernel = Kernel.of(settings.bounds().shutdownMillis());
         AdminService admin =
                 AdminService.of(
                         loop,
-                        new AdminService.Addresses(
-                                settings.readiness(), settings.metrics(), settings.peers()),
-                        new AdminService.Views(
+                        new AdminService.ListenAddresses(
+                                settings.readinessAddress(),
+                                settings.metricsAddress(),
+                                settings.peerAddress()),
+                        new AdminService.DataSources(
                                 router::isReady,
                                 registry -> {
                                     router.meters().bindTo(registry);
@@ -85,14 +87,14 @@
         return new DirectRouter(kernel, knowledge, router);
     }
 
-    private static long listMillis(RouterSettings.Bounds b) {
-        return (long) (b.leaveMillis() / READS_PER_LEAVE);
+    private static long targetListMillis(RouterSettings.Bounds b) {
+        return (long) (b.targetDrainMillis() / READS_PER_DRAIN);
     }
 
     /** Puts the bounds of newer settings in force; addresses and names stay as at the start. */
     public void reload(RouterSettings newer) {
         mRouter.reload(newer.bounds());
-        mKnowledge.setListMillis(listMillis(newer.bounds()));
+        mKnowledge.setListMillis(targetListMillis(newer.bounds()));
     }
 
     /** Starts all services. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/RouterSettings.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/RouterSettings.java
@@ -22,17 +22,25 @@
         String host,
         String domain,
         Map<String, String> regions,
-        InetSocketAddress callers,
-        InetSocketAddress readiness,
-        Optional<InetSocketAddress> metrics,
-        Optional<InetSocketAddress> peers,
-        InetSocketAddress notices,
+        InetSocketAddress callerAddress,
+        InetSocketAddress readinessAddress,
+        Optional<InetSocketAddress> metricsAddress,
+        Optional<InetSocketAddress> peerAddress,
+        InetSocketAddress noticeAddress,
         Bounds bounds) {
 
     /** Returns the same settings with other bounds. */
     public RouterSettings withBounds(Bounds other) {
         return new RouterSettings(
-                host, domain, regions, callers, readiness, metrics, peers, notices, other);
+                host,
+                domain,
+                regions,
+                callerAddress,
+                readinessAddress,
+                metricsAddress,
+                peerAddress,
+                noticeAddress,
+                other);
     }
 
     /**
@@ -48,11 +56,11 @@
      *     multiple of what it bears
      */
     public record Bounds(
-            long stopMillis,
-            long leaveMillis,
-            double repeatShare,
-            double repeatAllowance,
-            long repeatWindowMillis,
-            double loadMultiple,
+            long shutdownMillis,
+            long targetDrainMillis,
+            double retryShare,
+            double retryAllowance,
+            long retryWindowMillis,
+            double maxLoadRatio,
             double coldOvershoot) {}
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/StoreMeters.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/StoreMeters.java
@@ -26,7 +26,7 @@
     @Override
     public void bindTo(MeterRegistry registry) {
         for (String kind : mKnowledge.storeCalls().keySet()) {
-            FunctionCounter.builder("forkseam.store.calls", mKnowledge, k -> calls(k, kind))
+            FunctionCounter.builder("forkseam.store.calls", mKnowledge, k -> callCount(k, kind))
                     .tag("kind", kind)
                     .register(registry);
         }
@@ -59,7 +59,7 @@
                 .register(registry);
     }
 
-    private static double calls(Knowledge k, String kind) {
+    private static double callCount(Knowledge k, String kind) {
         return k.storeCalls().getOrDefault(kind, 0L);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/admin/AdminService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/admin/AdminService.java
@@ -46,7 +46,7 @@
     public static final String NAME = "admin";
 
     /** The metrics library is loaded so long after the start, when callers are being served. */
-    private static final long REGISTRY_MILLIS = 8_000;
+    private static final long REGISTRY_DELAY_MILLIS = 8_000;
 
     private static final int MAX_BODY_BYTES = 4096;
     private static final String METRICS_PATH = "/metrics";
@@ -63,32 +63,32 @@
     private Optional<PrometheusMeterRegistry> mRegistry = Optional.empty();
     private boolean mWasReady;
 
-    private AdminService(EventLoop loop, Addresses addresses, Views views) {
+    private AdminService(EventLoop loop, ListenAddresses addresses, DataSources views) {
         mLoop = loop;
         mReadiness = addresses.readiness();
         mMetrics = addresses.metrics();
         mReady = views.ready();
         mMeters = views.meters();
-        mPages = views.pages();
+        mPages = views.operatorPages();
         mPeers = addresses.peers();
         mSnapshot = views.snapshot();
     }
 
     /** Holds where questions are answered. */
-    public record Addresses(
+    public record ListenAddresses(
             InetSocketAddress readiness,
             Optional<InetSocketAddress> metrics,
             Optional<InetSocketAddress> peers) {}
 
     /** Holds what the answers are made of. */
-    public record Views(
+    public record DataSources(
             BooleanSupplier ready,
             MeterBinder meters,
             Supplier<Optional<byte[]>> snapshot,
-            OperatorPages pages) {}
+            OperatorPages operatorPages) {}
 
     /** Creates the service. */
-    public static AdminService of(EventLoop loop, Addresses addresses, Views views) {
+    public static AdminService of(EventLoop loop, ListenAddresses addresses, DataSources views) {
         return new AdminService(loop, addresses, views);
     }
 
@@ -99,11 +99,11 @@
 
     @Override
     public CompletableFuture<Void> start() {
-        mLoop.schedule(this::registry, REGISTRY_MILLIS, TimeUnit.MILLISECONDS);
+        mLoop.schedule(this::registry, REGISTRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         List<CompletableFuture<Void>> bound = new ArrayList<>();
-        bound.add(listen(mReadiness, this::readiness));
-        mMetrics.ifPresent(a -> bound.add(listen(a, this::figures)));
-        mPeers.ifPresent(a -> bound.add(listen(a, this::knowledge)));
+        bound.add(listen(mReadiness, this::handleReadiness));
+        mMetrics.ifPresent(a -> bound.add(listen(a, this::handleOperatorRequest)));
+        mPeers.ifPresent(a -> bound.add(listen(a, this::handleSnapshot)));
         return CompletableFuture.allOf(bound.toArray(new CompletableFuture<?>[0]));
     }
 
@@ -114,11 +114,11 @@
     }
 
     /** Answers one request by its path. */
-    private interface Page {
-        FullHttpResponse answer(String path);
+    private interface RequestHandler {
+        FullHttpResponse handle(String path);
     }
 
-    private CompletableFuture<Void> listen(InetSocketAddress address, Page page) {
+    private CompletableFuture<Void> listen(InetSocketAddress address, RequestHandler page) {
         CompletableFuture<Void> bound = new CompletableFuture<>();
         new ServerBootstrap()
                 .group(mLoop)
@@ -146,11 +146,11 @@
         return bound;
     }
 
-    private static ChannelHandler handler(Page page) {
+    private static ChannelHandler handler(RequestHandler page) {
         return new SimpleChannelInboundHandler<FullHttpRequest>() {
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
-                FullHttpResponse answer = page.answer(r.uri());
+                FullHttpResponse answer = page.handle(r.uri());
                 boolean keep = HttpUtil.isKeepAlive(r);
                 HttpUtil.setKeepAlive(answer, keep);
                 ctx.writeAndFlush(answer)
@@ -169,7 +169,7 @@
         };
     }
 
-    private FullHttpResponse readiness(String path) {
+    private FullHttpResponse handleReadiness(String path) {
         boolean ready = mReady.getAsBoolean();
         if (ready != mWasReady) {
             mWasReady = ready;
@@ -180,7 +180,7 @@
                 : text(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n", "text/plain");
     }
 
-    private FullHttpResponse knowledge(String path) {
+    private FullHttpResponse handleSnapshot(String path) {
         return mSnapshot
                 .get()
                 .map(b -> bytes(HttpResponseStatus.OK, b, "application/json"))
@@ -192,7 +192,7 @@
                                         "text/plain"));
     }
 
-    private FullHttpResponse figures(String path) {
+    private FullHttpResponse handleOperatorRequest(String path) {
         if (path.startsWith(METRICS_PATH)) {
             return text(HttpResponseStatus.OK, registry().scrape(), "text/plain; version=0.0.4");
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Admission.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Admission.java
@@ -19,14 +19,14 @@
 record Admission(
         TrafficConfig config, Route route, Optional<Team> team, String pool, long deadlineMillis) {
     /** The final answer goes out so long before the caller stops waiting. */
-    private static final long ANSWER_MARGIN_MILLIS = 60;
+    private static final long RESPONSE_MARGIN_MILLIS = 60;
 
     /**
      * Share of its objective that a request must have left to be sent: with less, an answer hardly
      * comes before the caller gives up, and the target works in vain. Origin: the operators, who do
      * not count such an attempt as one; what it saves was not measured.
      */
-    private static final double LEAST_SHARE_LEFT = 0.1;
+    private static final double MIN_REMAINING_SHARE = 0.1;
 
     /**
      * Share of its objective within which a request waits for a target that has asked for a while
@@ -35,40 +35,40 @@
      * are in time than if all are refused at once, and at most 1 of 100 fewer; waiting up to the
      * deadline costs a burst two thirds of those in time.
      */
-    private static final double WAIT_SHARE = 0.5;
+    private static final double MAX_WAIT_SHARE = 0.5;
 
     /** Kept connections that were idle for longer are not used for what can be repeated. */
     private static final long MAX_IDLE_MILLIS = 5_000;
 
     /** A kept connection may have been forgotten: what cannot be repeated avoids old ones. */
-    private static final long MAX_IDLE_UNREPEATABLE_MILLIS = 2_000;
+    private static final long MAX_IDLE_NON_RETRYABLE_MILLIS = 2_000;
 
     /** Creates what a configuration says of a request that has passed its checks. */
-    static Admission of(TrafficConfig config, Gate.Passed p, CallerRequest r) {
-        long wait = r.head().waitMillis().orElse(Long.MAX_VALUE);
+    static Admission of(TrafficConfig config, AdmissionCheck.Admitted p, CallerRequest r) {
+        long wait = r.head().timeoutMillis().orElse(Long.MAX_VALUE);
         long held = Math.min(wait, p.route().timeoutMillis());
-        long deadline = r.receivedMillis() + held - ANSWER_MARGIN_MILLIS;
+        long deadline = r.receivedMillis() + held - RESPONSE_MARGIN_MILLIS;
         return new Admission(config, p.route(), p.team(), p.route().pool(r.id()), deadline);
     }
 
     /** Returns the milliseconds left until the final answer is due, at least 1. */
-    long leftMillis(long nowMillis) {
+    long remainingMillis(long nowMillis) {
         return Math.max(1, deadlineMillis - nowMillis);
     }
 
     /** Returns whether the final answer is due. */
-    boolean isOver(long nowMillis) {
+    boolean isExpired(long nowMillis) {
         return nowMillis >= deadlineMillis;
     }
 
     /** Returns whether there is time left for an answer of a target. */
-    boolean leavesTime(long nowMillis) {
-        return deadlineMillis - nowMillis >= LEAST_SHARE_LEFT * route.latencyMillis();
+    boolean hasTimeForAttempt(long nowMillis) {
+        return deadlineMillis - nowMillis >= MIN_REMAINING_SHARE * route.latencyMillis();
     }
 
     /** Returns whether a request received at one moment may wait until another for a target. */
     boolean mayWait(long receivedMillis, long untilMillis) {
-        return untilMillis - receivedMillis <= WAIT_SHARE * route.latencyMillis();
+        return untilMillis - receivedMillis <= MAX_WAIT_SHARE * route.latencyMillis();
     }
 
     /** Returns the request's rank; 0 is the most urgent. */
@@ -78,6 +78,6 @@
 
     /** Returns for how long a kept connection may have been idle that carries the request. */
     long maxIdleMillis() {
-        return route.kind().isRepeatable() ? MAX_IDLE_MILLIS : MAX_IDLE_UNREPEATABLE_MILLIS;
+        return route.kind().isRepeatable() ? MAX_IDLE_MILLIS : MAX_IDLE_NON_RETRYABLE_MILLIS;
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Gate.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AdmissionCheck.java
@@ -10,11 +10,11 @@
 import java.util.Optional;
 
 /** Decides by the configuration whether a request may pass at all. Pure. */
-final class Gate {
-    private Gate() {}
+final class AdmissionCheck {
+    private AdmissionCheck() {}
 
     /** Is what the configuration says of a request. */
-    sealed interface Verdict {}
+    sealed interface Decision {}
 
     /**
      * Lets a request pass.
@@ -22,7 +22,7 @@
      * @param route its route
      * @param team the team of its caller, if it brought a key
      */
-    record Passed(Route route, Optional<Team> team) implements Verdict {}
+    record Admitted(Route route, Optional<Team> team) implements Decision {}
 
     /**
      * Turns a request away.
@@ -30,27 +30,27 @@
      * @param status the answer's status
      * @param why the reason
      */
-    record TurnedAway(HttpResponseStatus status, String why) implements Verdict {}
+    record Rejected(HttpResponseStatus status, String reason) implements Decision {}
 
-    static Verdict check(TrafficConfig config, CallerRequest r) {
+    static Decision check(TrafficConfig config, CallerRequest r) {
         Optional<String> malformed = r.head().malformed();
         if (malformed.isPresent()) {
-            return new TurnedAway(
+            return new Rejected(
                     HttpResponseStatus.BAD_REQUEST, malformed.get() + " cannot be read");
         }
         if (r.head().requestId().isEmpty()) {
-            return new TurnedAway(HttpResponseStatus.BAD_REQUEST, "request without an id");
+            return new Rejected(HttpResponseStatus.BAD_REQUEST, "request without an id");
         }
         String host = r.headers().get(HttpHeaderNames.HOST, "");
         Optional<Route> route = config.route(host, r.path());
         if (route.isEmpty()) {
-            return new TurnedAway(HttpResponseStatus.NOT_FOUND, "no route for " + host + r.path());
+            return new Rejected(HttpResponseStatus.NOT_FOUND, "no route for " + host + r.path());
         }
         Optional<Team> team = r.head().key().flatMap(config::team);
         boolean needsKey = config.hasTeams() && !route.get().open();
         if (needsKey && team.isEmpty()) {
-            return new TurnedAway(HttpResponseStatus.UNAUTHORIZED, "key is not known");
+            return new Rejected(HttpResponseStatus.UNAUTHORIZED, "key is not known");
         }
-        return new Passed(route.get(), team);
+        return new Admitted(route.get(), team);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Arrival.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Arrival.java
@@ -8,12 +8,12 @@
  * in the order in which they are read, which is the order in which they came.
  */
 final class Arrival {
-    private final Gap mGap;
+    private final ReadStall mStall;
     private final int mIndex;
     private final long mMillis;
 
-    private Arrival(Gap gap, int index, long millis) {
-        mGap = gap;
+    private Arrival(ReadStall gap, int index, long millis) {
+        mStall = gap;
         mIndex = index;
         mMillis = millis;
     }
@@ -25,27 +25,27 @@
 
     /** Returns when it came, in the clock's milliseconds; an estimate if it has waited unread. */
     long millis() {
-        return mGap == null ? mMillis : mGap.millis(mIndex);
+        return mStall == null ? mMillis : mStall.millis(mIndex);
     }
 
     /** Returns whether it has waited unread, so that its sender may have left meanwhile. */
-    boolean isLate() {
-        return mGap != null;
+    boolean wasDelayed() {
+        return mStall != null;
     }
 
     /** Is a time in which the router read nothing. */
-    static final class Gap {
+    static final class ReadStall {
         private final long mFrom;
         private final long mTo;
         private int mCount;
 
-        Gap(long from, long to) {
+        ReadStall(long from, long to) {
             mFrom = from;
             mTo = to;
         }
 
         /** Creates the next arrival of those that came in this time. */
-        Arrival next() {
+        Arrival nextArrival() {
             return new Arrival(this, mCount++, mTo);
         }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
@@ -8,12 +8,12 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 
 import org.forkseam.core.member.Target;
-import org.forkseam.direct.io.AnswerListener;
-import org.forkseam.direct.io.BreakKind;
-import org.forkseam.direct.io.ConnectionUser;
+import org.forkseam.direct.io.ConnectionCallback;
 import org.forkseam.direct.io.EventSplitter;
+import org.forkseam.direct.io.ExchangeFailure;
 import org.forkseam.direct.io.HttpConnection;
-import org.forkseam.direct.spi.AnswerHead;
+import org.forkseam.direct.io.ResponseListener;
+import org.forkseam.direct.spi.ResponseHead;
 
 import java.util.function.Supplier;
 
@@ -23,7 +23,7 @@
  * <p>An answer with a success on a streaming route is passed on event by event; any other is kept
  * until it is whole, so that a broken one can be replaced.
  */
-final class Attempt implements ConnectionUser, AnswerListener {
+final class Attempt implements ConnectionCallback, ResponseListener {
     /** An answer larger than this is taken for a fault of the target. */
     private static final int MAX_BODY_BYTES = 16 << 20;
 
@@ -32,7 +32,7 @@
      * to its target that are idle are opened anew then, at some 1 ms each; one that was cut off
      * costs a request its whole time.
      */
-    private static final long CUT_OFF_MILLIS = 400;
+    private static final long SILENT_CONNECTION_MILLIS = 400;
 
     private final RouterContext mContext;
     private final Target mTarget;
@@ -44,12 +44,12 @@
     private final long mStarted;
     private HttpConnection mConnection;
     private HttpResponse mHead;
-    private AnswerHead mDecoded;
+    private ResponseHead mDecodedHead;
     private ByteBuf mBody = Unpooled.EMPTY_BUFFER;
-    private boolean mPassing;
+    private boolean mStreamStarted;
     private boolean mEnded;
     private long mSentAt;
-    private long mHeardAt;
+    private long mLastReceivedAt;
     private long mHeadAt;
 
     Attempt(
@@ -71,7 +71,7 @@
     /** Begins: a connection, then the request. */
     void start(long maxIdleMillis) {
         mTarget.onSent(mStarted);
-        mContext.targets().pool(mTarget).acquire(maxIdleMillis, this);
+        mContext.targetConnections().pool(mTarget).acquire(maxIdleMillis, this);
     }
 
     /** Ends the attempt: the target sees its connection close. Nothing is told any more. */
@@ -81,11 +81,13 @@
         }
         mEnded = true;
         mTarget.onEnded();
-        if (isSent() && mHeardAt == 0 && mContext.now() - mSentAt > CUT_OFF_MILLIS) {
-            mContext.targets().pool(mTarget).closeIdleSince(mSentAt);
+        if (isSent()
+                && mLastReceivedAt == 0
+                && mContext.now() - mSentAt > SILENT_CONNECTION_MILLIS) {
+            mContext.targetConnections().pool(mTarget).closeIdleSince(mSentAt);
         }
         if (mConnection != null) {
-            mConnection.abandon();
+            mConnection.abort();
         }
     }
 
@@ -113,11 +115,11 @@
 
     /** Returns for how long the target has sent nothing for this request. */
     long silentMillis(long now) {
-        return isSent() ? now - Math.max(mSentAt, mHeardAt) : 0;
+        return isSent() ? now - Math.max(mSentAt, mLastReceivedAt) : 0;
     }
 
     /** Returns for how long the target has been bringing its answer. */
-    long answeringMillis(long now) {
+    long respondingMillis(long now) {
         return mHeadAt == 0 ? 0 : now - mHeadAt;
     }
 
@@ -125,9 +127,9 @@
         return now - mStarted;
     }
 
-    void setReading(boolean reading) {
+    void setAutoRead(boolean reading) {
         if (mConnection != null && !mEnded) {
-            mConnection.setReading(reading);
+            mConnection.setAutoRead(reading);
         }
     }
 
@@ -136,12 +138,12 @@
     @Override
     public void onConnection(HttpConnection c) {
         if (mEnded) {
-            c.giveBack();
+            c.release();
             return;
         }
         mConnection = c;
-        if (mContext.lag().isBehind()) {
-            mContext.intake().afterReads(this::send);
+        if (mContext.loopLag().isOverloaded()) {
+            mContext.requestQueue().runAfterReads(this::send);
         } else {
             send();
         }
@@ -153,46 +155,46 @@
             return;
         }
         if (mListener.isDone()) {
-            mConnection.giveBack();
+            mConnection.release();
             mConnection = null;
             cancel();
             return;
         }
         long now = mContext.now();
         if (!mConnection.isUsable()) {
-            giveUp(AttemptEnd.Kind.UNREACHABLE, "closed meanwhile");
+            endUnsent(AttemptResult.Kind.UNREACHABLE, "closed meanwhile");
             return;
         }
         if (!mTarget.takesWork(now)) {
-            giveUp(AttemptEnd.Kind.WITHDRAWN, "the target takes no work any more");
+            endUnsent(AttemptResult.Kind.WITHDRAWN, "the target takes no work any more");
             return;
         }
         if (!mListener.maySend()) {
-            giveUp(AttemptEnd.Kind.WITHDRAWN, "the request may not be sent any more");
+            endUnsent(AttemptResult.Kind.WITHDRAWN, "the request may not be sent any more");
             return;
         }
         mSentAt = now;
-        mConnection.send(mRequest.get(), this::belongs, this);
+        mConnection.send(mRequest.get(), this::matchesRequest, this);
     }
 
-    private void giveUp(AttemptEnd.Kind kind, String why) {
-        mConnection.giveBack();
-        end(AttemptEnd.of(kind, why));
+    private void endUnsent(AttemptResult.Kind kind, String why) {
+        mConnection.release();
+        end(AttemptResult.of(kind, why));
     }
 
     @Override
-    public void onNone(BreakKind kind, String detail) {
-        end(AttemptEnd.of(kind, detail));
+    public void onConnectionFailed(ExchangeFailure kind, String detail) {
+        end(AttemptResult.of(kind, detail));
     }
 
     /**
      * Tells whether an answer is this request's: only refusals may come without an id. Asked of
      * each head before it is brought, so that it is decoded once.
      */
-    private boolean belongs(HttpResponse r) {
-        mDecoded = mContext.protocol().decode(r);
-        if (mDecoded.requestId().isPresent()) {
-            return mDecoded.requestId().get().equals(mRequestId);
+    private boolean matchesRequest(HttpResponse r) {
+        mDecodedHead = mContext.protocol().decode(r);
+        if (mDecodedHead.requestId().isPresent()) {
+            return mDecodedHead.requestId().get().equals(mRequestId);
         }
         return r.status().codeClass() != HttpStatusClass.SUCCESS;
     }
@@ -201,27 +203,29 @@
 
     @Override
     public void onHead(HttpResponse head) {
-        heard();
+        onReceived();
         mHeadAt = mContext.now();
         mHead = head;
-        mContext.knowledge().words().onAnswer(mTarget, mDecoded);
-        mDecoded.load().ifPresent(l -> mTarget.onLoad(l, mContext.now()));
-        mDecoded.keepMillis().ifPresent(k -> mConnection.keepAtMost(k - keepMargin(k)));
+        mContext.knowledge().words().onAnswer(mTarget, mDecodedHead);
+        mDecodedHead.load().ifPresent(l -> mTarget.onLoad(l, mContext.now()));
+        mDecodedHead
+                .keepAliveMillis()
+                .ifPresent(k -> mConnection.limitIdleMillis(k - idleMarginMillis(k)));
     }
 
     /** An idle connection is given up somewhat before its server would close it. */
-    private static long keepMargin(long keepMillis) {
+    private static long idleMarginMillis(long keepMillis) {
         return Math.min(500, keepMillis / 4);
     }
 
-    private void heard() {
-        mHeardAt = mContext.now();
-        mTarget.onHeard(mHeardAt);
+    private void onReceived() {
+        mLastReceivedAt = mContext.now();
+        mTarget.onHeard(mLastReceivedAt);
     }
 
     @Override
     public void onBody(ByteBuf bytes) {
-        heard();
+        onReceived();
         if (mEnded) {
             return;
         }
@@ -234,8 +238,8 @@
                         ? Unpooled.copiedBuffer(mBody, bytes)
                         : Unpooled.copiedBuffer(bytes);
         if (mBody.readableBytes() > MAX_BODY_BYTES) {
-            mConnection.abandon();
-            end(AttemptEnd.of(AttemptEnd.Kind.MALFORMED, "body over " + MAX_BODY_BYTES));
+            mConnection.abort();
+            end(AttemptResult.of(AttemptResult.Kind.MALFORMED, "body over " + MAX_BODY_BYTES));
         }
     }
 
@@ -248,13 +252,13 @@
         if (mEnded || !mStream || mHead == null || !isSuccess()) {
             return;
         }
-        ByteBuf events = mSplitter.takeWhole();
+        ByteBuf events = mSplitter.takeCompleteEvents();
         if (!events.isReadable()) {
             return;
         }
-        if (!mPassing) {
-            mPassing = true;
-            mListener.onStream(this);
+        if (!mStreamStarted) {
+            mStreamStarted = true;
+            mListener.onStreamStarted(this);
         }
         if (!mEnded) {
             mListener.onEvents(this, events);
@@ -262,7 +266,7 @@
     }
 
     /** Returns whether the target answered without having begun the request, as far as it tells. */
-    boolean isTurnedAway() {
+    boolean isRateLimited() {
         return mHead.status().code() == HttpResponseStatus.TOO_MANY_REQUESTS.code();
     }
 
@@ -271,50 +275,50 @@
     }
 
     @Override
-    public void onEnd() {
+    public void onComplete() {
         onReadComplete();
         mConnection = null;
         if (mEnded) {
             return;
         }
-        if (mStream && isSuccess() && mSplitter.isHolding()) {
-            end(AttemptEnd.of(AttemptEnd.Kind.BROKEN, "ended within an event"));
+        if (mStream && isSuccess() && mSplitter.hasPartialEvent()) {
+            end(AttemptResult.of(AttemptResult.Kind.BROKEN, "ended within an event"));
             return;
         }
-        if (mStream && isSuccess() && !mPassing) {
-            mPassing = true;
-            mListener.onStream(this);
+        if (mStream && isSuccess() && !mStreamStarted) {
+            mStreamStarted = true;
+            mListener.onStreamStarted(this);
         }
-        end(judge());
+        end(classify());
     }
 
-    private AttemptEnd judge() {
+    private AttemptResult classify() {
         int status = mHead.status().code();
-        if (mDecoded.wrongTarget()) {
-            return AttemptEnd.of(AttemptEnd.Kind.WRONG_TARGET, "status " + status);
+        if (mDecodedHead.wrongTarget()) {
+            return AttemptResult.of(AttemptResult.Kind.WRONG_TARGET, "status " + status);
         }
-        if (mDecoded.notRun()) {
-            return AttemptEnd.of(AttemptEnd.Kind.REFUSED, "status " + status);
+        if (mDecodedHead.notRun()) {
+            return AttemptResult.of(AttemptResult.Kind.REFUSED, "status " + status);
         }
         if (mHead.status().codeClass() == HttpStatusClass.SERVER_ERROR) {
-            return AttemptEnd.of(AttemptEnd.Kind.FAILED, "status " + status);
+            return AttemptResult.of(AttemptResult.Kind.FAILED, "status " + status);
         }
-        return AttemptEnd.of(AttemptEnd.Kind.ANSWERED, "status " + status);
+        return AttemptResult.of(AttemptResult.Kind.ANSWERED, "status " + status);
     }
 
     @Override
-    public void onBroken(BreakKind kind, String detail) {
+    public void onExchangeFailed(ExchangeFailure kind, String detail) {
         onReadComplete();
         mConnection = null;
-        end(AttemptEnd.of(kind, detail));
+        end(AttemptResult.of(kind, detail));
     }
 
-    private void end(AttemptEnd end) {
+    private void end(AttemptResult end) {
         if (mEnded) {
             return;
         }
         mEnded = true;
         mTarget.onEnded();
-        mListener.onEnd(this, end);
+        mListener.onAttemptEnded(this, end);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptListener.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptListener.java
@@ -11,11 +11,11 @@
     boolean maySend();
 
     /** Tells that an answer has begun which may be passed on as it comes. */
-    void onStream(Attempt attempt);
+    void onStreamStarted(Attempt attempt);
 
     /** Tells of bytes of a stream, whole events only. */
     void onEvents(Attempt attempt, ByteBuf bytes);
 
     /** Tells how the attempt ended; nothing follows. */
-    void onEnd(Attempt attempt, AttemptEnd end);
+    void onAttemptEnded(Attempt attempt, AttemptResult end);
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptEnd.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptResult.java
@@ -2,7 +2,7 @@
 
 import org.forkseam.core.member.ErrorRate;
 import org.forkseam.core.member.Target;
-import org.forkseam.direct.io.BreakKind;
+import org.forkseam.direct.io.ExchangeFailure;
 
 /**
  * Says how an attempt to have a request run at one target ended.
@@ -10,7 +10,7 @@
  * @param kind what happened
  * @param detail more on it, for the logs
  */
-record AttemptEnd(Kind kind, String detail) {
+record AttemptResult(Kind kind, String detail) {
     /** Says what happened, and whether the target may have run the request. */
     enum Kind {
         /** The whole answer is there, whatever its status. */
@@ -51,7 +51,7 @@
         }
 
         /** Returns whether it speaks against the target's health. */
-        boolean isFault() {
+        boolean isFailure() {
             return this == UNREACHABLE
                     || this == FAILED
                     || this == BROKEN
@@ -65,7 +65,7 @@
      *
      * @param pool the share of all the pool's requests that fail
      */
-    void teach(Target t, ErrorRate pool, long nowMillis) {
+    void recordOn(Target t, ErrorRate pool, long nowMillis) {
         if (kind == Kind.ANSWERED || kind == Kind.FAILED) {
             t.errors().note(kind == Kind.FAILED);
             pool.note(kind == Kind.FAILED);
@@ -79,19 +79,19 @@
             }
             case REFUSED -> t.onRefused(nowMillis);
             default -> {
-                if (kind.isFault()) {
+                if (kind.isFailure()) {
                     t.health().onFailure(nowMillis);
                 }
             }
         }
     }
 
-    static AttemptEnd of(Kind kind, String detail) {
-        return new AttemptEnd(kind, detail);
+    static AttemptResult of(Kind kind, String detail) {
+        return new AttemptResult(kind, detail);
     }
 
-    static AttemptEnd of(BreakKind kind, String detail) {
-        return new AttemptEnd(
+    static AttemptResult of(ExchangeFailure kind, String detail) {
+        return new AttemptResult(
                 switch (kind) {
                     case UNREACHABLE, NOBODY_LISTENS -> Kind.UNREACHABLE;
                     case NO_CONNECTION_FREE -> Kind.NO_CONNECTION;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptTally.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptTracker.java
@@ -9,17 +9,17 @@
  * last target has certainly not run it, or if it may be repeated; the route bounds the targets, and
  * the pool's budget all repeats. Used on the event loop.
  */
-final class AttemptTally {
+final class AttemptTracker {
     /** Targets chosen in vain, without a byte sent, after which a request is refused. */
-    private static final int MAX_UNSENT = 4;
+    private static final int MAX_UNSENT_ATTEMPTS = 4;
 
-    private int mSent;
-    private int mUnsent;
+    private int mSentCount;
+    private int mUnsentCount;
     private boolean mMayHaveRun;
 
     /** Returns to how many targets the request was sent. */
-    int sent() {
-        return mSent;
+    int sentCount() {
+        return mSentCount;
     }
 
     /** Returns whether a target may have run the request. */
@@ -28,7 +28,7 @@
     }
 
     void onSent() {
-        mSent++;
+        mSentCount++;
     }
 
     /** Notes an attempt that brought no answer. */
@@ -37,8 +37,8 @@
     }
 
     /** Returns whether the route allows that the request is repeated at another target. */
-    boolean leavesRepeats(Route route) {
-        return route.kind().isRepeatable() && mSent < route.attempts();
+    boolean allowsRetry(Route route) {
+        return route.kind().isRepeatable() && mSentCount < route.attempts();
     }
 
     /**
@@ -47,13 +47,14 @@
      * @param tooLate whether the caller has events that no other target can continue
      * @param budget takes a repeat from the pool's budget, if there is one left
      */
-    boolean allowsAnother(AttemptEnd end, Route route, boolean tooLate, BooleanSupplier budget) {
+    boolean allowsNextAttempt(
+            AttemptResult end, Route route, boolean tooLate, BooleanSupplier budget) {
         if (end.kind().isUnsent()) {
-            return ++mUnsent < MAX_UNSENT;
+            return ++mUnsentCount < MAX_UNSENT_ATTEMPTS;
         }
         if (mMayHaveRun && !route.kind().isRepeatable()) {
             return false;
         }
-        return !tooLate && mSent < route.attempts() && budget.getAsBoolean();
+        return !tooLate && mSentCount < route.attempts() && budget.getAsBoolean();
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerConnection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerConnection.java
@@ -18,7 +18,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 import org.forkseam.core.traffic.CallerLimits;
-import org.forkseam.direct.io.Chunks;
+import org.forkseam.direct.io.ChunkEncoder;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -28,7 +28,7 @@
  *
  * <p>A connection that ends takes its request with it. Used on the event loop.
  */
-final class CallerConnection extends ChannelDuplexHandler implements CallerSink {
+final class CallerConnection extends ChannelDuplexHandler implements ResponseSink {
     /** Requests sent ahead of their answers that are kept; a caller with more is held up. */
     private static final int MAX_QUEUED = 16;
 
@@ -41,7 +41,7 @@
     private boolean mClosing;
     private boolean mBodiless;
     private long mLastUse;
-    private long mHeadSince;
+    private long mRequestStartedAt;
     private Arrival mArrival;
 
     /**
@@ -66,10 +66,12 @@
 
     /** Notes that bytes came: the first ones after an answer begin a request. */
     void onBytes() {
-        if (mHeadSince == 0) {
-            mHeadSince = mContext.now();
+        if (mRequestStartedAt == 0) {
+            mRequestStartedAt = mContext.now();
             mArrival =
-                    mArrival != null && mArrival.isLate() ? mArrival : mContext.arrivals().next();
+                    mArrival != null && mArrival.wasDelayed()
+                            ? mArrival
+                            : mContext.arrivalTracker().next();
         }
     }
 
@@ -77,13 +79,13 @@
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
         FullHttpRequest r = (FullHttpRequest) msg;
         try {
-            read(r);
+            enqueue(r);
         } finally {
             r.release();
         }
     }
 
-    private void read(FullHttpRequest r) {
+    private void enqueue(FullHttpRequest r) {
         if (mClosing) {
             return; // not read: the caller sees the connection close
         }
@@ -99,17 +101,17 @@
                         r.headers().copy(),
                         ByteBufUtil.getBytes(r.content()),
                         mContext.protocol().decode(r),
-                        mArrival == null ? mContext.arrivals().next() : mArrival);
-        mHeadSince = 0;
+                        mArrival == null ? mContext.arrivalTracker().next() : mArrival);
+        mRequestStartedAt = 0;
         mArrival = null;
         mQueue.add(request);
         if (mQueue.size() >= MAX_QUEUED) {
             mChannel.channel().config().setAutoRead(false);
         }
-        next();
+        startNext();
     }
 
-    private void next() {
+    private void startNext() {
         if (mFlow != null || mClosing) {
             return;
         }
@@ -133,42 +135,42 @@
                 cause instanceof TooLongFrameException
                         ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                         : HttpResponseStatus.BAD_REQUEST;
-        mContext.counters().onMalformed();
+        mContext.meters().onMalformed();
         mKeepAlive = false;
-        answer(mContext.answers().own("", status, "malformed request"));
+        respond(mContext.responses().local("", status, "malformed request"));
     }
 
     // ---------------------------------------------------------------- answering
 
     @Override
-    public void answer(FullHttpResponse response) {
-        boolean close = prepare(response);
-        finish(mChannel.writeAndFlush(response), close);
+    public void respond(FullHttpResponse response) {
+        boolean close = setConnectionHeader(response);
+        finishResponse(mChannel.writeAndFlush(response), close);
     }
 
     @Override
-    public void begin(HttpResponse head) {
-        prepare(head);
+    public void writeHead(HttpResponse head) {
+        setConnectionHeader(head);
         mChannel.write(head);
     }
 
     @Override
-    public void part(ByteBuf bytes) {
+    public void writeBody(ByteBuf bytes) {
         if (mBodiless) {
             bytes.release();
             return;
         }
-        mCodec.writeAndFlush(Chunks.of(mCodec.alloc(), bytes)); // beneath the encoder
+        mCodec.writeAndFlush(ChunkEncoder.encode(mCodec.alloc(), bytes)); // beneath the encoder
     }
 
     @Override
-    public void end() {
-        boolean close = !mKeepAlive || mContext.isLeaving();
-        finish(mChannel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), close);
+    public void complete() {
+        boolean close = !mKeepAlive || mContext.isDraining();
+        finishResponse(mChannel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), close);
     }
 
-    private boolean prepare(HttpResponse response) {
-        boolean close = !mKeepAlive || mContext.isLeaving();
+    private boolean setConnectionHeader(HttpResponse response) {
+        boolean close = !mKeepAlive || mContext.isDraining();
         if (close) {
             mKeepAlive = false;
         }
@@ -176,7 +178,7 @@
         return close;
     }
 
-    private void finish(io.netty.channel.ChannelFuture written, boolean close) {
+    private void finishResponse(io.netty.channel.ChannelFuture written, boolean close) {
         mFlow = null;
         mLastUse = mContext.now();
         if (close) {
@@ -184,11 +186,11 @@
             written.addListener(ChannelFutureListener.CLOSE);
             return;
         }
-        next();
+        startNext();
     }
 
     @Override
-    public void breakOff() {
+    public void abort() {
         mFlow = null;
         mClosing = true;
         mChannel.close();
@@ -209,7 +211,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (mFlow != null) {
-            mFlow.onWritable(isWritable());
+            mFlow.onWritabilityChanged(isWritable());
         }
     }
 
@@ -221,7 +223,7 @@
         if (mFlow != null) {
             RequestFlow flow = mFlow;
             mFlow = null;
-            flow.onCallerGone();
+            flow.onCallerDisconnected();
         }
     }
 
@@ -235,8 +237,9 @@
         if (mFlow != null || mClosing) {
             return;
         }
-        boolean slowHead = mHeadSince != 0 && now - mHeadSince > limits.headerMillis();
-        boolean idle = mHeadSince == 0 && now - mLastUse > limits.idleMillis();
+        boolean slowHead =
+                mRequestStartedAt != 0 && now - mRequestStartedAt > limits.headerMillis();
+        boolean idle = mRequestStartedAt == 0 && now - mLastUse > limits.idleMillis();
         if (slowHead || idle) {
             close();
         }
@@ -244,14 +247,14 @@
 
     /** Closes the connection if no request is under way. */
     void closeIfIdle() {
-        if (mFlow == null && mHeadSince == 0 && !mClosing) {
+        if (mFlow == null && mRequestStartedAt == 0 && !mClosing) {
             close();
         }
     }
 
     /** Returns whether a request is under way or coming in. */
     boolean isBusy() {
-        return mFlow != null || mHeadSince != 0;
+        return mFlow != null || mRequestStartedAt != 0;
     }
 
     private void close() {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerRequest.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerRequest.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 import org.forkseam.core.util.Hashes;
-import org.forkseam.direct.spi.CallerHead;
+import org.forkseam.direct.spi.RequestHead;
 
 /**
  * Holds a caller's request, read whole.
@@ -21,7 +21,7 @@
         String uri,
         HttpHeaders headers,
         byte[] body,
-        CallerHead head,
+        RequestHead head,
         Arrival arrival) {
 
     /** Returns when its first byte came, in the clock's milliseconds. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerServer.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerServer.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 
 import org.forkseam.core.traffic.CallerLimits;
-import org.forkseam.direct.io.EarlyListener;
+import org.forkseam.direct.io.EarlyServerSocket;
 
 import java.util.concurrent.CompletableFuture;
 
@@ -25,7 +25,7 @@
         mContext = context;
     }
 
-    CompletableFuture<Void> serve(EarlyListener listener) {
+    CompletableFuture<Void> serve(EarlyServerSocket listener) {
         ChannelInitializer<Channel> connections =
                 new ChannelInitializer<Channel>() {
                     @Override
@@ -38,7 +38,8 @@
 
     private void accept(Channel ch) {
         CallerLimits limits = mContext.knowledge().config().limits();
-        CallerConnection connection = new CallerConnection(mContext, mContext.arrivals().next());
+        CallerConnection connection =
+                new CallerConnection(mContext, mContext.arrivalTracker().next());
         HttpDecoderConfig config =
                 new HttpDecoderConfig()
                         .setMaxInitialLineLength(limits.headerBytes())
@@ -58,7 +59,7 @@
     }
 
     /** Takes no further connection. */
-    void stopListening() {
+    void closeListener() {
         if (mListener != null) {
             mListener.close();
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashWatch.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
@@ -2,8 +2,8 @@
 
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetStart;
-import org.forkseam.direct.io.BreakKind;
-import org.forkseam.direct.io.ConnectionUser;
+import org.forkseam.direct.io.ConnectionCallback;
+import org.forkseam.direct.io.ExchangeFailure;
 import org.forkseam.direct.io.HttpConnection;
 import org.forkseam.direct.know.Quarantine;
 import org.forkseam.direct.log.Event;
@@ -23,26 +23,26 @@
  * any more, it has ended. One connection is opened for all that a target broke off at a time: some
  * 1 ms of a target's time, and a living one gets it instead of the broken one.
  */
-final class CrashWatch {
+final class CrashDetector {
     /**
      * A target that has been bringing an answer for so long has not ended by it: in the incident
      * targets ended 46 to 95 ms after they had begun. Unit: milliseconds.
      */
-    private static final long HARMLESS_AFTER_MILLIS = 1_000;
+    private static final long MAX_CRASH_DELAY_MILLIS = 1_000;
 
-    private final Targets mTargets;
+    private final TargetConnections mTargets;
     private final Quarantine mQuarantine;
-    private final Map<TargetStart, Look> mLooks = new HashMap<>();
-    private long mCrashes;
+    private final Map<TargetStart, Probe> mProbes = new HashMap<>();
+    private long mCrashCount;
 
-    CrashWatch(Targets targets, Quarantine quarantine) {
+    CrashDetector(TargetConnections targets, Quarantine quarantine) {
         mTargets = targets;
         mQuarantine = quarantine;
     }
 
     /** Returns the ends of targets seen since the start. */
-    long crashes() {
-        return mCrashes;
+    long crashCount() {
+        return mCrashCount;
     }
 
     /**
@@ -53,24 +53,24 @@
      * @param then is run once it is known whether the target has ended, if that may decide what
      *     becomes of the request; else at once
      */
-    void onBroken(Target t, long content, long answeringMillis, Runnable then) {
-        if (answeringMillis > HARMLESS_AFTER_MILLIS) {
+    void onConnectionLost(Target t, long content, long answeringMillis, Runnable then) {
+        if (answeringMillis > MAX_CRASH_DELAY_MILLIS) {
             then.run();
             return;
         }
-        Look look = mLooks.get(t.start());
+        Probe look = mProbes.get(t.start());
         boolean isNew = look == null;
         if (isNew) {
-            look = new Look(t);
-            mLooks.put(t.start(), look);
+            look = new Probe(t);
+            mProbes.put(t.start(), look);
         }
         look.mContents.add(content);
         boolean decides = mQuarantine.isLastCrashAllowed(content);
         if (decides) {
-            look.mThen.add(then);
+            look.mCallbacks.add(then);
         }
         if (isNew) {
-            mTargets.pool(t).replace(look);
+            mTargets.pool(t).openReplacement(look);
         }
         if (!decides) {
             then.run();
@@ -78,44 +78,44 @@
     }
 
     /** Is a look at a target that has broken off requests. */
-    private final class Look implements ConnectionUser {
+    private final class Probe implements ConnectionCallback {
         private final Target mTarget;
-        private final int mCrash;
+        private final int mCrashId;
         private final Set<Long> mContents = new HashSet<>();
-        private final List<Runnable> mThen = new ArrayList<>();
+        private final List<Runnable> mCallbacks = new ArrayList<>();
 
-        Look(Target t) {
+        Probe(Target t) {
             mTarget = t;
-            mCrash = t.shortHash();
+            mCrashId = t.shortHash();
         }
 
         @Override
         public void onConnection(HttpConnection c) {
-            c.giveBack();
+            c.release();
             finish();
         }
 
         @Override
-        public void onNone(BreakKind kind, String detail) {
-            if (kind == BreakKind.NOBODY_LISTENS) {
-                onEnded();
+        public void onConnectionFailed(ExchangeFailure kind, String detail) {
+            if (kind == ExchangeFailure.NOBODY_LISTENS) {
+                onCrash();
             }
             finish();
         }
 
-        private void onEnded() {
-            mCrashes++;
+        private void onCrash() {
+            mCrashCount++;
             Event.of("target_ended")
                     .with("target", mTarget.entry().id())
                     .with("address", mTarget.entry().address())
                     .with("requests", mContents.size())
                     .log();
-            mContents.forEach(c -> mQuarantine.onCrash(c, mCrash));
+            mContents.forEach(c -> mQuarantine.onCrash(c, mCrashId));
         }
 
         private void finish() {
-            mLooks.remove(mTarget.start());
-            mThen.forEach(Runnable::run);
+            mProbes.remove(mTarget.start());
+            mCallbacks.forEach(Runnable::run);
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/FinalAnswer.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/FinalResponse.java
@@ -7,10 +7,10 @@
 import java.util.function.Consumer;
 
 /** Brings one request to its end toward its caller, with the outcome's name. */
-final class FinalAnswer {
+final class FinalResponse {
     private final RouterContext mContext;
     private final CallerRequest mRequest;
-    private final CallerSink mSink;
+    private final ResponseSink mSink;
     private final Consumer<String> mOnEnd;
 
     /**
@@ -18,8 +18,11 @@
      *
      * @param onEnd is told the outcome's name before the caller gets it
      */
-    FinalAnswer(
-            RouterContext context, CallerRequest request, CallerSink sink, Consumer<String> onEnd) {
+    FinalResponse(
+            RouterContext context,
+            CallerRequest request,
+            ResponseSink sink,
+            Consumer<String> onEnd) {
         mContext = context;
         mRequest = request;
         mSink = sink;
@@ -27,59 +30,61 @@
     }
 
     /** Ends a stream whose events the caller has got. */
-    void endStream() {
+    void completeStream() {
         mOnEnd.accept("answered");
-        mSink.end();
+        mSink.complete();
     }
 
     /** Passes on a target's whole answer. */
-    void pass(Attempt a) {
+    void forward(Attempt a) {
         mOnEnd.accept("answered");
-        mContext.counters().onFirstByte(mContext.now() - mRequest.receivedMillis());
+        mContext.meters().onFirstByte(mContext.now() - mRequest.receivedMillis());
         boolean bodiless = mRequest.method().equals(HttpMethod.HEAD);
-        mSink.answer(mContext.answers().whole(a.head(), a.body(), bodiless));
+        mSink.respond(mContext.responses().full(a.head(), a.body(), bodiless));
     }
 
     /** Passes on a target's whole failure. */
-    void passFailure(Attempt a) {
+    void forwardFailure(Attempt a) {
         mOnEnd.accept("target_failed");
-        mSink.answer(mContext.answers().whole(a.head(), a.body(), false));
+        mSink.respond(mContext.responses().full(a.head(), a.body(), false));
     }
 
     /** Answers what the configuration does not allow. */
-    void turnAway(Gate.TurnedAway t) {
-        own(
+    void reject(AdmissionCheck.Rejected t) {
+        respondLocally(
                 "turned_away_" + t.status().code(),
-                mContext.answers().own(mRequest.id(), t.status(), t.why()));
+                mContext.responses().local(mRequest.id(), t.status(), t.reason()));
     }
 
     /** Refuses a request that has not run. */
     void refuse(String why, long backInMillis) {
-        own(
+        respondLocally(
                 "refused_" + why,
-                mContext.answers().notRun(mRequest.id(), "not run: " + why, backInMillis));
+                mContext.responses().unavailable(mRequest.id(), "not run: " + why, backInMillis));
     }
 
     /** Refuses a request that has not run; coming back before is in vain. */
-    void refuseBefore(String why, long backInMillis) {
-        own(
+    void refuseUntil(String why, long backInMillis) {
+        respondLocally(
                 "refused_" + why,
-                mContext.answers().notRunBefore(mRequest.id(), "not run: " + why, backInMillis));
+                mContext.responses()
+                        .unavailableUntil(mRequest.id(), "not run: " + why, backInMillis));
     }
 
     /** Refuses a request under which targets end; coming back before is in vain. */
     void refuseQuarantined(long backInMillis) {
         String why = "targets have ended under this request";
-        own(
+        respondLocally(
                 "refused_quarantined",
-                mContext.answers().notRunBefore(mRequest.id(), "not run: " + why, backInMillis));
+                mContext.responses()
+                        .unavailableUntil(mRequest.id(), "not run: " + why, backInMillis));
     }
 
     /** Refuses a request for which a router that has just started could not learn enough. */
-    void refuseIgnorant(long backInMillis) {
-        own(
+    void refuseUnconfigured(long backInMillis) {
+        respondLocally(
                 "no_config",
-                mContext.answers().notRun(mRequest.id(), "no configuration", backInMillis));
+                mContext.responses().unavailable(mRequest.id(), "no configuration", backInMillis));
     }
 
     /**
@@ -90,17 +95,19 @@
     void fail(String why, boolean late) {
         HttpResponseStatus status =
                 late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY;
-        own("failed_" + why, mContext.answers().own(mRequest.id(), status, "may have run: " + why));
+        respondLocally(
+                "failed_" + why,
+                mContext.responses().local(mRequest.id(), status, "may have run: " + why));
     }
 
     /** Ends a stream of which the caller has got a part. */
-    void breakOff() {
+    void abortStream() {
         mOnEnd.accept("broken_off");
-        mSink.breakOff();
+        mSink.abort();
     }
 
-    private void own(String outcome, FullHttpResponse r) {
+    private void respondLocally(String outcome, FullHttpResponse r) {
         mOnEnd.accept(outcome);
-        mSink.answer(r);
+        mSink.respond(r);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/HopHeaders.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/HopByHopHeaders.java
@@ -15,8 +15,8 @@
  * and where it goes stay all the same: otherwise a caller could have a request arrive without its
  * id, its model or its length.
  */
-final class HopHeaders {
-    private static final List<CharSequence> NAMES =
+final class HopByHopHeaders {
+    private static final List<CharSequence> HOP_BY_HOP =
             List.of(
                     HttpHeaderNames.CONNECTION,
                     "Keep-Alive",
@@ -28,10 +28,10 @@
                     HttpHeaderNames.TRANSFER_ENCODING,
                     HttpHeaderNames.UPGRADE);
 
-    private static final Set<String> MESSAGE =
+    private static final Set<String> NEVER_REMOVED =
             Set.of("host", "content-length", "content-type", "content-encoding");
 
-    private HopHeaders() {}
+    private HopByHopHeaders() {}
 
     /**
      * Removes them.
@@ -43,12 +43,13 @@
             for (String part : listed.split(",")) {
                 String name = part.strip();
                 boolean stays =
-                        MESSAGE.contains(name.toLowerCase(Locale.ROOT)) || isEndToEnd.test(name);
+                        NEVER_REMOVED.contains(name.toLowerCase(Locale.ROOT))
+                                || isEndToEnd.test(name);
                 if (!stays) {
                     headers.remove(name);
                 }
             }
         }
-        NAMES.forEach(headers::remove);
+        HOP_BY_HOP.forEach(headers::remove);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/OutgoingRequest.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/OutgoingRequest.java
@@ -6,14 +6,15 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpVersion;
 
-import org.forkseam.direct.spi.CallerProtocol;
-import org.forkseam.direct.spi.Handover;
+import org.forkseam.direct.spi.ForwardingInfo;
+import org.forkseam.direct.spi.HeaderCodec;
 
 /** Makes what a target gets of a caller's request: all of it but what concerns one connection. */
 final class OutgoingRequest {
     private OutgoingRequest() {}
 
-    static FullHttpRequest of(CallerProtocol protocol, CallerRequest request, Handover handover) {
+    static FullHttpRequest of(
+            HeaderCodec protocol, CallerRequest request, ForwardingInfo handover) {
         FullHttpRequest r =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -21,13 +22,13 @@
                         request.uri(),
                         Unpooled.wrappedBuffer(request.body()));
         r.headers().set(request.headers());
-        HopHeaders.remove(r.headers(), protocol::isEndToEnd);
+        HopByHopHeaders.remove(r.headers(), protocol::isEndToEnd);
         r.headers().remove(HttpHeaderNames.EXPECT);
         boolean told = request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
         if (request.body().length > 0 || told) {
             r.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
         }
-        protocol.handOver(r.headers(), handover);
+        protocol.encodeForwarding(r.headers(), handover);
         return r;
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/QuarantineCheck.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/QuarantineCheck.java
@@ -10,8 +10,8 @@
 final class QuarantineCheck {
     private final Quarantine mQuarantine;
     private final long mContent;
-    private boolean mAsked;
-    private boolean mTrial;
+    private boolean mTrialRequested;
+    private boolean mTrialGranted;
 
     QuarantineCheck(Quarantine quarantine, long content) {
         mQuarantine = quarantine;
@@ -20,22 +20,22 @@
 
     /** Returns whether a target may get the request. */
     boolean maySend() {
-        return mTrial || mQuarantine.verdict(mContent) == Quarantine.Verdict.SERVE;
+        return mTrialGranted || mQuarantine.verdict(mContent) == Quarantine.Verdict.SERVE;
     }
 
     /** Returns whether this router may ask to send the request once, its term being over. */
-    boolean mayAsk() {
-        return !mAsked && mQuarantine.verdict(mContent) == Quarantine.Verdict.TRY;
+    boolean canRequestTrial() {
+        return !mTrialRequested && mQuarantine.verdict(mContent) == Quarantine.Verdict.TRY;
     }
 
     /** Asks for that, and runs a task once it is known. */
-    void ask(Runnable then) {
-        mAsked = true;
+    void requestTrial(Runnable then) {
+        mTrialRequested = true;
         mQuarantine
                 .askToTry(mContent)
                 .thenAccept(
                         granted -> {
-                            mTrial = granted;
+                            mTrialGranted = granted;
                             then.run();
                         });
     }
@@ -45,8 +45,8 @@
      * its target gone or full says nothing of the request, and another target gets it.
      */
     void onAttemptEnd(boolean mayHaveRun, boolean answered) {
-        if (mTrial && mayHaveRun) {
-            mTrial = false;
+        if (mTrialGranted && mayHaveRun) {
+            mTrialGranted = false;
             mQuarantine.onTrialEnded(mContent, answered);
         }
         if (answered) {
@@ -55,7 +55,7 @@
     }
 
     /** Returns after how many milliseconds a refused caller should come back. */
-    long backInMillis() {
+    long retryAfterMillis() {
         return mQuarantine.backInMillis(mContent);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
@@ -10,7 +10,7 @@
 import org.forkseam.core.traffic.RouteKind;
 import org.forkseam.core.traffic.Team;
 import org.forkseam.core.traffic.TrafficConfig;
-import org.forkseam.direct.spi.Handover;
+import org.forkseam.direct.spi.ForwardingInfo;
 
 import java.util.Locale;
 import java.util.Optional;
@@ -20,51 +20,51 @@
  * Carries one request from its reading to its final answer. Used on the event loop.
  *
  * <p>One attempt is under way at a time; whether another follows is decided by {@link
- * AttemptTally}.
+ * AttemptTracker}.
  */
-final class RequestFlow implements AttemptListener, Intake.Item {
+final class RequestFlow implements AttemptListener, RequestQueue.QueuedRequest {
     /** A request waits so long for a router that has just started; then it is refused. */
-    private static final long AWAIT_KNOWLEDGE_MILLIS = 600;
+    private static final long CONFIG_WAIT_MILLIS = 600;
 
     /** By then such a router knows enough, or the balancer has taken it out. Unit: ms. */
-    private static final long IGNORANT_BACK_MILLIS = 500;
+    private static final long UNCONFIGURED_RETRY_AFTER_MILLIS = 500;
 
     private final RouterContext mContext;
     private final CallerRequest mRequest;
-    private final CallerSink mSink;
-    private final long mContent;
+    private final ResponseSink mSink;
+    private final long mContentHash;
     private final QuarantineCheck mQuarantine;
-    private final FlowRecord mRecord;
-    private final FinalAnswer mFinal;
+    private final RequestLogger mLogger;
+    private final FinalResponse mResponse;
     private final long mReadAt;
-    private final RequestPlacement mPlacement;
-    private final AttemptTally mTally = new AttemptTally();
-    private final GiveUp mGiveUp;
+    private final TargetSelection mTargetSelection;
+    private final AttemptTracker mAttempts = new AttemptTracker();
+    private final FailureResponder mFailureResponder;
     private TrafficConfig mConfig;
     private Admission mAdmission;
     private Attempt mAttempt;
     private boolean mStreaming;
     private boolean mDone;
-    private String mLastId;
+    private String mLastEventId;
 
-    RequestFlow(RouterContext context, CallerRequest request, CallerSink sink) {
+    RequestFlow(RouterContext context, CallerRequest request, ResponseSink sink) {
         mContext = context;
         mRequest = request;
         mSink = sink;
-        mContent = request.contentHash();
-        mQuarantine = new QuarantineCheck(context.knowledge().quarantine(), mContent);
-        mRecord = new FlowRecord(context, request, mContent);
-        mFinal = new FinalAnswer(context, request, sink, this::finish);
-        mPlacement = new RequestPlacement(context, request);
-        mGiveUp = new GiveUp(context, mFinal, mTally, mPlacement);
+        mContentHash = request.contentHash();
+        mQuarantine = new QuarantineCheck(context.knowledge().quarantine(), mContentHash);
+        mLogger = new RequestLogger(context, request, mContentHash);
+        mResponse = new FinalResponse(context, request, sink, this::onFinished);
+        mTargetSelection = new TargetSelection(context, request);
+        mFailureResponder = new FailureResponder(context, mResponse, mAttempts, mTargetSelection);
         mReadAt = context.now();
     }
 
     // ---------------------------------------------------------------- beginning
 
     void start() {
-        mContext.flows().add(this);
-        mContext.intake().add(this);
+        mContext.activeRequests().add(this);
+        mContext.requestQueue().enqueue(this);
     }
 
     @Override
@@ -79,30 +79,30 @@
 
     /** Checks the request by the configuration in force; a newer one is asked anew. */
     @Override
-    public Intake.Readiness prepare() {
+    public RequestQueue.Readiness prepare() {
         if (!mContext.knowledge().isComplete()) {
-            return Intake.Readiness.NOT_YET;
+            return RequestQueue.Readiness.NOT_YET;
         }
         if (mConfig != mContext.knowledge().config()) {
             check(mContext.knowledge().config());
         }
-        return mDone ? Intake.Readiness.DONE : Intake.Readiness.READY;
+        return mDone ? RequestQueue.Readiness.DONE : RequestQueue.Readiness.READY;
     }
 
     private void check(TrafficConfig config) {
         mConfig = config;
-        Gate.Verdict verdict = Gate.check(config, mRequest);
-        if (verdict instanceof Gate.Passed p) {
+        AdmissionCheck.Decision verdict = AdmissionCheck.check(config, mRequest);
+        if (verdict instanceof AdmissionCheck.Admitted p) {
             admit(p);
         } else {
-            mFinal.turnAway((Gate.TurnedAway) verdict);
+            mResponse.reject((AdmissionCheck.Rejected) verdict);
         }
     }
 
-    private void admit(Gate.Passed p) {
+    private void admit(AdmissionCheck.Admitted p) {
         mAdmission = Admission.of(mConfig, p, mRequest);
         if (route().kind() == RouteKind.RESUMABLE) {
-            mLastId = mRequest.head().lastEventId().orElse(null);
+            mLastEventId = mRequest.head().lastEventId().orElse(null);
         }
     }
 
@@ -115,32 +115,35 @@
     }
 
     @Override
-    public void begin() {
-        mContext.budgets().pool(pool()).onRequest(mContext.now());
+    public void dispatch() {
+        mContext.retryBudgets().pool(pool()).onRequest(mContext.now());
         mContext.knowledge().seats().onRequest(pool());
-        attempt();
+        startAttempt();
     }
 
     // ---------------------------------------------------------------- attempts
 
-    private void attempt() {
-        if (!mAdmission.leavesTime(mContext.now())) {
-            giveUp("no_time");
+    private void startAttempt() {
+        if (!mAdmission.hasTimeForAttempt(mContext.now())) {
+            respondWithFailure("no_time");
             return;
         }
         if (!mQuarantine.maySend()) {
-            refuseOrTry();
+            refuseOrRequestTrial();
             return;
         }
-        Optional<Pick> pick = mPlacement.next(mAdmission);
+        Optional<Pick> pick = mTargetSelection.selectNext(mAdmission);
         if (pick.isEmpty()) {
-            waitOrGiveUp();
+            waitForTargetOrFail();
             return;
         }
         Target t = pick.get().target();
-        mRecord.onChoice(
-                new FlowRecord.Choice(
-                        pool(), pick.get(), mPlacement.key(), mPlacement.sharedTokens()));
+        mLogger.onTargetSelected(
+                new RequestLogger.Selection(
+                        pool(),
+                        pick.get(),
+                        mTargetSelection.key(),
+                        mTargetSelection.sharedTokens()));
         mAttempt =
                 new Attempt(
                         mContext,
@@ -153,31 +156,32 @@
     }
 
     /** Waits for the first target that wants work again, if that is soon. */
-    private void waitOrGiveUp() {
-        OptionalLong freeIn = mPlacement.freeAgainIn(mAdmission);
+    private void waitForTargetOrFail() {
+        OptionalLong freeIn = mTargetSelection.availableInMillis(mAdmission);
         long until = mContext.now() + freeIn.orElse(0);
         if (freeIn.isEmpty() || !mAdmission.mayWait(mRequest.receivedMillis(), until)) {
-            giveUp(mPlacement.whyNone(mAdmission, freeIn.isPresent()));
+            respondWithFailure(mTargetSelection.unavailableReason(mAdmission, freeIn.isPresent()));
             return;
         }
-        mPlacement.forgetTried();
-        mRecord.onWait(freeIn.getAsLong());
-        mContext.timer().after(freeIn.getAsLong(), this::attemptUnlessDone);
+        mTargetSelection.clearTried();
+        mLogger.onHeldForTarget(freeIn.getAsLong());
+        mContext.timer().after(freeIn.getAsLong(), this::startAttemptUnlessDone);
     }
 
-    private void attemptUnlessDone() {
+    private void startAttemptUnlessDone() {
         if (!mDone) {
-            attempt();
+            startAttempt();
         }
     }
 
     /** Targets have ended under the request: it gets no other, but for a trial now and then. */
-    private void refuseOrTry() {
-        if (!mQuarantine.mayAsk()) {
-            mGiveUp.endQuarantined(mQuarantine.backInMillis(), mAdmission, mStreaming);
+    private void refuseOrRequestTrial() {
+        if (!mQuarantine.canRequestTrial()) {
+            mFailureResponder.respondQuarantined(
+                    mQuarantine.retryAfterMillis(), mAdmission, mStreaming);
             return;
         }
-        mQuarantine.ask(this::attemptUnlessDone);
+        mQuarantine.requestTrial(this::startAttemptUnlessDone);
     }
 
     @Override
@@ -186,100 +190,104 @@
     }
 
     private FullHttpRequest requestFor(Target t) {
-        mTally.onSent();
+        mAttempts.onSent();
         return OutgoingRequest.of(mContext.protocol(), mRequest, handover(t));
     }
 
-    private Handover handover(Target t) {
-        return new Handover(
+    private ForwardingInfo handover(Target t) {
+        return new ForwardingInfo(
                 t.entry().id(),
-                mAdmission.leftMillis(mContext.now()),
+                mAdmission.remainingMillis(mContext.now()),
                 mAdmission.team().map(Team::name),
                 mAdmission.priority(),
-                Optional.ofNullable(mLastId),
-                mPlacement.copyFrom(t, pool()));
+                Optional.ofNullable(mLastEventId),
+                mTargetSelection.copyFrom(t, pool()));
     }
 
     @Override
-    public void onEnd(Attempt a, AttemptEnd end) {
+    public void onAttemptEnded(Attempt a, AttemptResult end) {
         mAttempt = null;
         long now = mContext.now();
-        mContext.counters().onAttempt(end.kind().name());
-        end.teach(a.target(), mContext.errors(pool()), now);
-        boolean answered = end.kind() == AttemptEnd.Kind.ANSWERED && !a.isTurnedAway();
+        mContext.meters().onAttempt(end.kind().name());
+        end.recordOn(a.target(), mContext.errorRate(pool()), now);
+        boolean answered = end.kind() == AttemptResult.Kind.ANSWERED && !a.isRateLimited();
         mQuarantine.onAttemptEnd(end.kind().mayHaveRun(), answered);
-        rememberLastId(a);
-        if (end.kind() == AttemptEnd.Kind.ANSWERED) {
+        updateLastEventId(a);
+        if (end.kind() == AttemptResult.Kind.ANSWERED) {
             if (!mDone) {
                 finishAnswered(a);
             }
             return;
         }
-        mTally.onFailed(end.kind().mayHaveRun());
-        if (end.kind() == AttemptEnd.Kind.BROKEN) {
-            mContext.crashes()
-                    .onBroken(a.target(), mContent, a.answeringMillis(now), () -> goOn(a, end));
+        mAttempts.onFailed(end.kind().mayHaveRun());
+        if (end.kind() == AttemptResult.Kind.BROKEN) {
+            mContext.crashDetector()
+                    .onConnectionLost(
+                            a.target(),
+                            mContentHash,
+                            a.respondingMillis(now),
+                            () -> retryOrFinish(a, end));
             return;
         }
-        goOn(a, end);
+        retryOrFinish(a, end);
     }
 
     /** Decides what follows an attempt that brought no answer. */
-    private void goOn(Attempt a, AttemptEnd end) {
+    private void retryOrFinish(Attempt a, AttemptResult end) {
         if (mDone) {
             return;
         }
-        mRecord.onAttemptEnd(a, end, mTally.sent());
-        if (mayTryAgain(end, mContext.now())) {
-            attempt();
+        mLogger.onAttemptEnd(a, end, mAttempts.sentCount());
+        if (mayRetry(end, mContext.now())) {
+            startAttempt();
             return;
         }
         finishFailed(a, end);
     }
 
-    private boolean mayTryAgain(AttemptEnd end, long now) {
-        boolean tooLate = mStreaming && mLastId == null;
-        return !mAdmission.isOver(now)
-                && mTally.allowsAnother(
+    private boolean mayRetry(AttemptResult end, long now) {
+        boolean tooLate = mStreaming && mLastEventId == null;
+        return !mAdmission.isExpired(now)
+                && mAttempts.allowsNextAttempt(
                         end,
                         route(),
                         tooLate,
-                        () -> mContext.budgets().pool(pool()).tryRepeat(now));
+                        () -> mContext.retryBudgets().pool(pool()).tryRepeat(now));
     }
 
     // ---------------------------------------------------------------- streams
 
     @Override
-    public void onStream(Attempt a) {
+    public void onStreamStarted(Attempt a) {
         if (mStreaming) {
             return; // a continued stream keeps the head of its first target
         }
         mStreaming = true;
-        mContext.counters().onFirstByte(mContext.now() - mRequest.receivedMillis());
-        mSink.begin(mContext.answers().streamHead(a.head()));
+        mContext.meters().onFirstByte(mContext.now() - mRequest.receivedMillis());
+        mSink.writeHead(mContext.responses().streamHead(a.head()));
     }
 
     @Override
     public void onEvents(Attempt a, ByteBuf bytes) {
-        mSink.part(bytes);
+        mSink.writeBody(bytes);
         if (!mSink.isWritable()) {
-            a.setReading(false);
+            a.setAutoRead(false);
         }
     }
 
-    void onWritable(boolean writable) {
+    void onWritabilityChanged(boolean writable) {
         if (mAttempt != null) {
-            mAttempt.setReading(writable);
+            mAttempt.setAutoRead(writable);
         }
     }
 
     // ---------------------------------------------------------------- time
 
     /** Refuses a request for which a router that has just started could not learn enough. */
-    private void refuseIfIgnorant(long now) {
-        if (now - mReadAt > AWAIT_KNOWLEDGE_MILLIS) {
+    private void refuseIfUnconfigured(long now) {
+        if (now - mReadAt > CONFIG_WAIT_MILLIS) {
             mConfig = mContext.knowledge().config();
-            mFinal.refuseIgnorant(IGNORANT_BACK_MILLIS);
+            mResponse.refuseUnconfigured(UNCONFIGURED_RETRY_AFTER_MILLIS);
         }
     }
 
@@ -289,98 +297,101 @@
             return;
         }
         if (mConfig == null) {
-            refuseIfIgnorant(now);
+            refuseIfUnconfigured(now);
             return;
         }
-        if (mAdmission.isOver(now)) {
+        if (mAdmission.isExpired(now)) {
             onDeadline();
             return;
         }
-        if (mAttempt != null && isStuck(mAttempt, now)) {
-            replaceStuck(now);
+        if (mAttempt != null && isStalled(mAttempt, now)) {
+            replaceStalledAttempt(now);
         }
     }
 
-    private boolean isStuck(Attempt a, long now) {
-        if (!mTally.leavesRepeats(route())) {
+    private boolean isStalled(Attempt a, long now) {
+        if (!mAttempts.allowsRetry(route())) {
             return false;
         }
-        return Patience.isOver(
+        return StallDetector.isStalled(
                 route(), a.silentMillis(now), a.target().silentMillis(now), mStreaming);
     }
 
-    private void replaceStuck(long now) {
-        if (mContext.budgets().pool(pool()).left(now) < 1) {
+    private void replaceStalledAttempt(long now) {
+        if (mContext.retryBudgets().pool(pool()).left(now) < 1) {
             return;
         }
         Attempt a = mAttempt;
         a.cancel();
-        onEnd(a, AttemptEnd.of(AttemptEnd.Kind.GIVEN_UP, "silent " + a.silentMillis(now) + " ms"));
+        onAttemptEnded(
+                a,
+                AttemptResult.of(
+                        AttemptResult.Kind.GIVEN_UP, "silent " + a.silentMillis(now) + " ms"));
     }
 
-    private void rememberLastId(Attempt a) {
-        a.splitter().lastId().ifPresent(id -> mLastId = id);
+    private void updateLastEventId(Attempt a) {
+        a.splitter().lastEventId().ifPresent(id -> mLastEventId = id);
     }
 
     private void onDeadline() {
         if (mAttempt != null) {
             Attempt a = mAttempt;
             mAttempt = null;
-            mTally.onFailed(a.isSent());
+            mAttempts.onFailed(a.isSent());
             a.cancel();
-            mContext.counters().onAttempt("DEADLINE");
+            mContext.meters().onAttempt("DEADLINE");
             if (a.isSent() && a.target().isSilent(mContext.now())) {
                 a.target().health().onFailure(mContext.now());
             }
         }
-        giveUp("deadline");
+        respondWithFailure("deadline");
     }
 
     // ---------------------------------------------------------------- ending
 
     private void finishAnswered(Attempt a) {
         mContext.comeBack(pool()).onServed(mContext.now());
-        mPlacement.onAnswered(pool(), a.target());
+        mTargetSelection.onAnswered(pool(), a.target());
         if (route().kind().isStream() && mStreaming) {
-            mFinal.endStream();
+            mResponse.completeStream();
         } else {
-            mFinal.pass(a);
+            mResponse.forward(a);
         }
     }
 
-    private void finishFailed(Attempt a, AttemptEnd end) {
-        if (end.kind() == AttemptEnd.Kind.FAILED && !mStreaming && passesAsIs(a)) {
-            mFinal.passFailure(a);
+    private void finishFailed(Attempt a, AttemptResult end) {
+        if (end.kind() == AttemptResult.Kind.FAILED && !mStreaming && canForwardFailure(a)) {
+            mResponse.forwardFailure(a);
             return;
         }
-        giveUp(end.kind().name().toLowerCase(Locale.ROOT));
+        respondWithFailure(end.kind().name().toLowerCase(Locale.ROOT));
     }
 
     /** A 503 says that the request has not run; a target's that has run is not passed on. */
-    private static boolean passesAsIs(Attempt a) {
+    private static boolean canForwardFailure(Attempt a) {
         return a.head().status().code() != HttpResponseStatus.SERVICE_UNAVAILABLE.code();
     }
 
-    private void giveUp(String why) {
-        mGiveUp.end(why, mAdmission, mStreaming);
+    private void respondWithFailure(String why) {
+        mFailureResponder.respond(why, mAdmission, mStreaming);
     }
 
-    private void finish(String outcome) {
+    private void onFinished(String outcome) {
         mDone = true;
-        mContext.flows().remove(this);
+        mContext.activeRequests().remove(this);
         Optional<Admission> admitted = Optional.ofNullable(mAdmission);
-        mRecord.onEnd(
+        mLogger.onEnd(
                 outcome,
-                new FlowRecord.Summary(
+                new RequestLogger.Summary(
                         admitted.map(a -> a.route().name()).orElse(""),
                         admitted.flatMap(Admission::team).map(Team::name).orElse(""),
                         mConfig == null ? 0 : mConfig.version(),
-                        mTally.sent(),
-                        mPlacement.copySource()));
+                        mAttempts.sentCount(),
+                        mTargetSelection.copySource()));
     }
 
     /** The caller has gone: nothing is sent any more, and the target sees its connection close. */
-    void onCallerGone() {
+    void onCallerDisconnected() {
         if (mDone) {
             return;
         }
@@ -388,6 +399,6 @@
             mAttempt.cancel();
             mAttempt = null;
         }
-        finish("caller_gone");
+        onFinished("caller_gone");
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/FlowRecord.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestLogger.java
@@ -11,11 +11,11 @@
  * Writes down what is decided on one request: a log line for each attempt that brought no answer
  * and one for the end, and notes for operators who ask. Used on the event loop.
  */
-final class FlowRecord {
+final class RequestLogger {
     private final RouterContext mContext;
     private final CallerRequest mRequest;
     private final String mContent;
-    private Optional<Choice> mChoice = Optional.empty();
+    private Optional<Selection> mSelection = Optional.empty();
 
     /**
      * Holds a choice of target and what decided it.
@@ -23,12 +23,12 @@
      * @param key what the choice was made by
      * @param sharedTokens tokens of the prompt that other requests share
      */
-    record Choice(String pool, Pick pick, String key, long sharedTokens) {}
+    record Selection(String pool, Pick pick, String key, long sharedTokens) {}
 
     /** Holds what a request's last line tells beside its outcome. */
     record Summary(String route, String team, long config, int sent, Optional<String> copySource) {}
 
-    FlowRecord(RouterContext context, CallerRequest request, long content) {
+    RequestLogger(RouterContext context, CallerRequest request, long content) {
         mContext = context;
         mRequest = request;
         mContent = Hashes.text(content);
@@ -38,15 +38,15 @@
         return mContext.now();
     }
 
-    private void note(String what, String where) {
+    private void addNote(String what, String where) {
         mContext.decisions().note(mRequest.id(), what, where);
     }
 
-    void onChoice(Choice choice) {
-        mChoice = Optional.of(choice);
+    void onTargetSelected(Selection choice) {
+        mSelection = Optional.of(choice);
         Pick p = choice.pick();
         Target t = p.target();
-        note(
+        addNote(
                 "chosen in pool "
                         + choice.pool()
                         + " as "
@@ -62,13 +62,13 @@
                 t.entry().id());
     }
 
-    void onWait(long millis) {
-        note("waits " + millis + " ms for a target that wants work again", "");
-        mContext.counters().onWait();
+    void onHeldForTarget(long millis) {
+        addNote("waits " + millis + " ms for a target that wants work again", "");
+        mContext.meters().onHeldForTarget();
     }
 
-    void onAttemptEnd(Attempt a, AttemptEnd end, int sent) {
-        note(
+    void onAttemptEnd(Attempt a, AttemptResult end, int sent) {
+        addNote(
                 "attempt ended "
                         + end.kind()
                         + (end.kind().mayHaveRun() ? ", may have run: " : ", not run: ")
@@ -90,9 +90,9 @@
 
     void onEnd(String outcome, Summary s) {
         long took = now() - mRequest.receivedMillis();
-        mContext.counters().onOutcome(outcome);
-        mContext.counters().onEnd(took);
-        note(outcome + " after " + took + " ms, configuration " + s.config(), "");
+        mContext.meters().onOutcome(outcome);
+        mContext.meters().onEnd(took);
+        addNote(outcome + " after " + took + " ms, configuration " + s.config(), "");
         Event e =
                 Event.of(outcome)
                         .with("request", mRequest.id())
@@ -102,11 +102,11 @@
                         .with("config", s.config())
                         .with("sent", s.sent())
                         .with("took_ms", took);
-        mChoice.ifPresent(c -> addChoice(e, c, s));
+        mSelection.ifPresent(c -> addSelection(e, c, s));
         e.log();
     }
 
-    private void addChoice(Event e, Choice c, Summary s) {
+    private void addSelection(Event e, Selection c, Summary s) {
         Target t = c.pick().target();
         e.with("pool", c.pool())
                 .with("target", t.entry().id())
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/FlowCounters.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestMeters.java
@@ -6,7 +6,7 @@
 import io.micrometer.core.instrument.Timer;
 import io.micrometer.core.instrument.binder.MeterBinder;
 
-import org.forkseam.direct.log.CountingAppender;
+import org.forkseam.direct.log.BoundedAsyncAppender;
 import org.forkseam.direct.log.Event;
 
 import java.time.Duration;
@@ -23,7 +23,7 @@
  * <p>Counts are plain numbers until a registry is bound, since the registry's classes need not be
  * loaded before the router serves.
  */
-final class FlowCounters implements MeterBinder {
+final class RequestMeters implements MeterBinder {
     /** Samples kept until a registry is bound: a few seconds' worth. */
     private static final int MAX_PENDING = 4_096;
 
@@ -37,10 +37,10 @@
         Duration.ofMillis(5000)
     };
 
-    private final Map<String, Count> mOutcomes = new HashMap<>();
-    private final Map<String, Count> mAttempts = new HashMap<>();
-    private final Histogram mFirstByte = new Histogram();
-    private final Histogram mWhole = new Histogram();
+    private final Map<String, Counter> mOutcomes = new HashMap<>();
+    private final Map<String, Counter> mAttempts = new HashMap<>();
+    private final LatencyHistogram mFirstByte = new LatencyHistogram();
+    private final LatencyHistogram mTotal = new LatencyHistogram();
     private Optional<MeterRegistry> mRegistry = Optional.empty();
 
     @Override
@@ -50,8 +50,8 @@
         mAttempts.forEach((k, c) -> c.register("forkseam.attempts", "end", k, registry));
         mFirstByte.bind(
                 registry, "forkseam.first_byte", "from a request to the first byte of its answer");
-        mWhole.bind(registry, "forkseam.request", "from a request to the end of its answer");
-        registry.gauge("forkseam.log.dropped", this, c -> CountingAppender.dropped());
+        mTotal.bind(registry, "forkseam.request", "from a request to the end of its answer");
+        registry.gauge("forkseam.log.dropped", this, c -> BoundedAsyncAppender.dropped());
         registry.gauge("forkseam.log.skipped", this, c -> Event.skipped());
     }
 
@@ -63,19 +63,19 @@
         count(mAttempts, "forkseam.attempts", "end", end);
     }
 
-    private void count(Map<String, Count> counts, String name, String tag, String value) {
-        Count c = counts.get(value);
+    private void count(Map<String, Counter> counts, String name, String tag, String value) {
+        Counter c = counts.get(value);
         if (c == null) {
-            c = new Count();
+            c = new Counter();
             counts.put(value, c);
             if (mRegistry.isPresent()) {
                 c.register(name, tag, value, mRegistry.get());
             }
         }
-        c.mCount++;
+        c.mValue++;
     }
 
-    void onWait() {
+    void onHeldForTarget() {
         count(mAttempts, "forkseam.attempts", "end", "HELD_FOR_TARGET");
     }
 
@@ -88,22 +88,22 @@
     }
 
     void onEnd(long millis) {
-        mWhole.record(millis);
+        mTotal.record(millis);
     }
 
     /** Is one count. */
-    private static final class Count {
-        private long mCount;
+    private static final class Counter {
+        private long mValue;
 
         void register(String name, String tag, String value, MeterRegistry registry) {
-            FunctionCounter.builder(name, this, c -> c.mCount)
+            FunctionCounter.builder(name, this, c -> c.mValue)
                     .tags(Tags.of(tag, value))
                     .register(registry);
         }
     }
 
     /** Is a latency histogram; keeps its first samples until there is a registry. */
-    private static final class Histogram {
+    private static final class LatencyHistogram {
         private final Deque<Long> mPending = new ArrayDeque<>();
         private Optional<Timer> mTimer = Optional.empty();
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Intake.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestQueue.java
@@ -22,30 +22,30 @@
  * whose request is not read within a second gives it up. docs/design/deciding-under-load.md holds
  * the figures.
  */
-final class Intake {
+final class RequestQueue {
     /** The loop goes back to reading after it has begun requests for so long. Unit: ms. */
     private static final long BATCH_MILLIS = 5;
 
     private final Clock mClock;
-    private final Arrivals mArrivals;
-    private final Turns mTurns;
-    private final List<Waiting> mWaiting = new ArrayList<>();
-    private boolean mPlanned;
+    private final ArrivalTracker mArrivalTracker;
+    private final LoopScheduler mScheduler;
+    private final List<Entry> mEntries = new ArrayList<>();
+    private boolean mScheduled;
 
     /** Runs tasks on the event loop. */
-    interface Turns {
+    interface LoopScheduler {
         /** Runs a task in this turn of the loop, after all that can be read was read. */
-        void inThisTurn(Runnable task);
+        void runThisIteration(Runnable task);
 
         /**
          * Runs a task in the next turn of the loop, after all that can be read was read. To be
          * called by tasks only.
          */
-        void inNextTurn(Runnable task);
+        void runNextIteration(Runnable task);
     }
 
     /** Is a request that has been read and not begun. */
-    interface Item {
+    interface QueuedRequest {
         /** Returns when it came. */
         Arrival arrival();
 
@@ -56,7 +56,7 @@
         boolean isDone();
 
         /** Begins it. */
-        void begin();
+        void dispatch();
     }
 
     /** Says whether a request can be begun. */
@@ -70,95 +70,95 @@
     }
 
     /** Is an item, and whether a close that followed it would have been read by now. */
-    private static final class Waiting {
-        private final Item mItem;
-        private boolean mCloseSeen;
+    private static final class Entry {
+        private final QueuedRequest mRequest;
+        private boolean mDisconnectChecked;
 
-        Waiting(Item item) {
-            mItem = item;
-            mCloseSeen = !item.arrival().isLate();
+        Entry(QueuedRequest item) {
+            mRequest = item;
+            mDisconnectChecked = !item.arrival().wasDelayed();
         }
 
-        Item item() {
-            return mItem;
+        QueuedRequest request() {
+            return mRequest;
         }
     }
 
-    Intake(Clock clock, Arrivals arrivals, Turns turns) {
+    RequestQueue(Clock clock, ArrivalTracker arrivals, LoopScheduler turns) {
         mClock = clock;
-        mArrivals = arrivals;
-        mTurns = turns;
+        mArrivalTracker = arrivals;
+        mScheduler = turns;
     }
 
     /** Takes a request that has just been read. */
-    void add(Item item) {
-        Waiting w = new Waiting(item);
-        mWaiting.add(w);
-        if (w.mCloseSeen) {
-            plan();
+    void enqueue(QueuedRequest item) {
+        Entry w = new Entry(item);
+        mEntries.add(w);
+        if (w.mDisconnectChecked) {
+            schedule();
             return;
         }
         // A close that came while nothing was read is found one turn after the request.
-        mTurns.inThisTurn(
+        mScheduler.runThisIteration(
                 () -> {
-                    mArrivals.onTurn();
-                    mTurns.inNextTurn(() -> onCloseSeen(w));
+                    mArrivalTracker.onReadsDrained();
+                    mScheduler.runNextIteration(() -> onDisconnectChecked(w));
                 });
     }
 
     /** Runs a task in this turn of the loop, once all that can be read was read. */
-    void afterReads(Runnable task) {
-        mTurns.inThisTurn(task);
+    void runAfterReads(Runnable task) {
+        mScheduler.runThisIteration(task);
     }
 
     /** Returns the requests that wait. */
     int size() {
-        return mWaiting.size();
+        return mEntries.size();
     }
 
-    private void onCloseSeen(Waiting w) {
-        w.mCloseSeen = true;
-        plan();
+    private void onDisconnectChecked(Entry w) {
+        w.mDisconnectChecked = true;
+        schedule();
     }
 
-    private void plan() {
-        if (!mPlanned) {
-            mPlanned = true;
-            mTurns.inThisTurn(this::plannedTurn);
+    private void schedule() {
+        if (!mScheduled) {
+            mScheduled = true;
+            mScheduler.runThisIteration(this::runScheduled);
         }
     }
 
     /** Looks at what waits for the router to learn enough. */
     void onTick() {
         if (size() > 0) {
-            turn();
+            processEntries();
         } else {
-            mArrivals.onTurn();
+            mArrivalTracker.onReadsDrained();
         }
     }
 
     /** Begins what waits, as far as this turn of the loop allows. */
-    private void turn() {
+    private void processEntries() {
         long now = mClock.nowMillis();
-        mArrivals.onTurn();
-        prepare();
-        boolean more = beginBatch(now);
-        if (more && !mPlanned) {
-            mPlanned = true;
-            mTurns.inNextTurn(this::plannedTurn);
+        mArrivalTracker.onReadsDrained();
+        removeDone();
+        boolean more = dispatchBatch(now);
+        if (more && !mScheduled) {
+            mScheduled = true;
+            mScheduler.runNextIteration(this::runScheduled);
         }
     }
 
-    private void plannedTurn() {
-        mPlanned = false;
-        turn();
+    private void runScheduled() {
+        mScheduled = false;
+        processEntries();
     }
 
     /** Drops what has ended. */
-    private void prepare() {
-        Iterator<Waiting> i = mWaiting.iterator();
+    private void removeDone() {
+        Iterator<Entry> i = mEntries.iterator();
         while (i.hasNext()) {
-            Item item = i.next().item();
+            QueuedRequest item = i.next().request();
             if (item.isDone() || item.prepare() == Readiness.DONE) {
                 i.remove();
             }
@@ -166,8 +166,8 @@
     }
 
     /** Returns whether it stopped before all were begun. */
-    private boolean beginBatch(long since) {
-        while (beginOne()) {
+    private boolean dispatchBatch(long since) {
+        while (dispatchFirst()) {
             if (mClock.nowMillis() - since >= BATCH_MILLIS) {
                 return true;
             }
@@ -176,26 +176,26 @@
     }
 
     /** Begins the one that came first, if any can be begun. */
-    private boolean beginOne() {
-        Waiting first = null;
-        for (Waiting w : mWaiting) {
-            if (mayBegin(w) && (first == null || isBefore(w, first))) {
+    private boolean dispatchFirst() {
+        Entry first = null;
+        for (Entry w : mEntries) {
+            if (mayDispatch(w) && (first == null || isBefore(w, first))) {
                 first = w;
             }
         }
         if (first == null) {
             return false;
         }
-        mWaiting.remove(first);
-        first.item().begin();
+        mEntries.remove(first);
+        first.request().dispatch();
         return true;
     }
 
-    private static boolean isBefore(Waiting a, Waiting b) {
-        return a.item().arrival().millis() < b.item().arrival().millis();
+    private static boolean isBefore(Entry a, Entry b) {
+        return a.request().arrival().millis() < b.request().arrival().millis();
     }
 
-    private static boolean mayBegin(Waiting w) {
-        return w.mCloseSeen && w.item().prepare() == Readiness.READY;
+    private static boolean mayDispatch(Entry w) {
+        return w.mDisconnectChecked && w.request().prepare() == Readiness.READY;
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Answers.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/ResponseFactory.java
@@ -13,29 +13,29 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 import org.forkseam.core.outcome.RetryAfter;
-import org.forkseam.direct.spi.CallerProtocol;
+import org.forkseam.direct.spi.HeaderCodec;
 
 import java.nio.charset.StandardCharsets;
 import java.util.random.RandomGenerator;
 
 /** Builds answers: the router's own, and targets' answers as callers are to see them. */
-final class Answers {
-    private final CallerProtocol mProtocol;
+final class ResponseFactory {
+    private final HeaderCodec mProtocol;
     private final RandomGenerator mRandom;
 
-    Answers(CallerProtocol protocol, RandomGenerator random) {
+    ResponseFactory(HeaderCodec protocol, RandomGenerator random) {
         mProtocol = protocol;
         mRandom = random;
     }
 
     /** Builds an answer of the router's own. */
-    FullHttpResponse own(String requestId, HttpResponseStatus status, String why) {
+    FullHttpResponse local(String requestId, HttpResponseStatus status, String why) {
         ByteBuf body = Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8);
         FullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         r.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
         r.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         if (!requestId.isEmpty()) {
-            mProtocol.nameRequest(r.headers(), requestId);
+            mProtocol.setRequestId(r.headers(), requestId);
         }
         return r;
     }
@@ -45,8 +45,8 @@
      *
      * @param backInMillis when it is worth coming back, about
      */
-    FullHttpResponse notRun(String requestId, String why, long backInMillis) {
-        return refusal(requestId, why, RetryAfter.spread(backInMillis, mRandom));
+    FullHttpResponse unavailable(String requestId, String why, long backInMillis) {
+        return serviceUnavailable(requestId, why, RetryAfter.spread(backInMillis, mRandom));
     }
 
     /**
@@ -54,18 +54,19 @@
      *
      * @param backInMillis before which it is in vain to come back
      */
-    FullHttpResponse notRunBefore(String requestId, String why, long backInMillis) {
-        return refusal(requestId, why, RetryAfter.notBefore(backInMillis, mRandom));
+    FullHttpResponse unavailableUntil(String requestId, String why, long backInMillis) {
+        return serviceUnavailable(requestId, why, RetryAfter.notBefore(backInMillis, mRandom));
     }
 
-    private FullHttpResponse refusal(String requestId, String why, long retryAfterMillis) {
-        FullHttpResponse r = own(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, why);
-        mProtocol.retryAfter(r.headers(), retryAfterMillis);
+    private FullHttpResponse serviceUnavailable(
+            String requestId, String why, long retryAfterMillis) {
+        FullHttpResponse r = local(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, why);
+        mProtocol.setRetryAfter(r.headers(), retryAfterMillis);
         return r;
     }
 
     /** Builds a target's whole answer, byte for byte. */
-    FullHttpResponse whole(HttpResponse head, ByteBuf body, boolean bodiless) {
+    FullHttpResponse full(HttpResponse head, ByteBuf body, boolean bodiless) {
         FullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), body);
         copyHeaders(head, r.headers());
         if (!bodiless) {
@@ -85,6 +86,6 @@
 
     private void copyHeaders(HttpResponse from, HttpHeaders to) {
         to.set(from.headers());
-        HopHeaders.remove(to, mProtocol::isEndToEnd);
+        HopByHopHeaders.remove(to, mProtocol::isEndToEnd);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerSink.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/ResponseSink.java
@@ -5,21 +5,21 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** Takes the answer to one request. Used on the event loop. */
-interface CallerSink {
+interface ResponseSink {
     /** Sends a whole answer. */
-    void answer(FullHttpResponse response);
+    void respond(FullHttpResponse response);
 
     /** Begins an answer whose body follows in parts. */
-    void begin(HttpResponse head);
+    void writeHead(HttpResponse head);
 
     /** Sends a part of the body; the buffer is the sink's from then on. */
-    void part(ByteBuf bytes);
+    void writeBody(ByteBuf bytes);
 
     /** Ends the body: the answer is whole. */
-    void end();
+    void complete();
 
     /** Closes the connection within the body, so that the answer cannot look whole. */
-    void breakOff();
+    void abort();
 
     /** Returns whether the caller is there: a close may be known before anybody is told of it. */
     boolean isOpen();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RepeatBudgets.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RetryBudgets.java
@@ -7,7 +7,7 @@
 import java.util.function.IntSupplier;
 
 /** Keeps one budget of repeats for each pool. Used on the event loop. */
-final class RepeatBudgets {
+final class RetryBudgets {
     /** Part of the share that is used, so that a late count of requests does not matter. */
     private static final double USED_SHARE = 0.9;
 
@@ -29,7 +29,7 @@
      *
      * @param routers the number of routers that share the allowance
      */
-    RepeatBudgets(Bounds bounds, IntSupplier routers) {
+    RetryBudgets(Bounds bounds, IntSupplier routers) {
         mBounds = bounds;
         mRouters = routers;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
@@ -9,7 +9,7 @@
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
 import org.forkseam.direct.know.Knowledge;
-import org.forkseam.direct.spi.CallerProtocol;
+import org.forkseam.direct.spi.HeaderCodec;
 
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -19,25 +19,25 @@
 /** Holds what all requests of a router share. Used on the event loop. */
 final class RouterContext {
     private final Clock mClock;
-    private final CallerProtocol mProtocol;
+    private final HeaderCodec mProtocol;
     private final Knowledge mKnowledge;
-    private final Targets mTargets;
-    private Placing mPlacing;
+    private final TargetConnections mTargetConnections;
+    private Selectors mSelectors;
     private final ColdGate mColdGate;
-    private final CrashWatch mCrashes;
-    private final RepeatBudgets mBudgets;
-    private final Answers mAnswers;
-    private final FlowCounters mCounters;
-    private final Arrivals mArrivals;
-    private final Intake mIntake;
-    private final LoopLag mLag;
+    private final CrashDetector mCrashDetector;
+    private final RetryBudgets mRetryBudgets;
+    private final ResponseFactory mResponses;
+    private final RequestMeters mMeters;
+    private final ArrivalTracker mArrivalTracker;
+    private final RequestQueue mRequestQueue;
+    private final EventLoopLag mLoopLag;
     private final Timer mTimer;
     private final Map<String, ComeBack> mComeBack = new HashMap<>();
-    private final Map<String, ErrorRate> mErrors = new HashMap<>();
-    private final Set<RequestFlow> mFlows = new LinkedHashSet<>();
+    private final Map<String, ErrorRate> mErrorRates = new HashMap<>();
+    private final Set<RequestFlow> mActiveRequests = new LinkedHashSet<>();
     private final Set<CallerConnection> mConnections = new LinkedHashSet<>();
     private final DecisionLog mDecisions = DecisionLog.of(DecisionLog.DEFAULT_SIZE);
-    private boolean mLeaving;
+    private boolean mDraining;
 
     /**
      * Holds how targets are chosen.
@@ -47,13 +47,13 @@
      * @param services chooses among the targets of plain services
      * @param regions leaves out targets of regions that are not allowed
      */
-    record Placing(
-            CandidateFilter filter,
-            TargetPicker engines,
-            TargetPicker services,
-            HomeRegions regions) {
-        Placing withEngines(TargetPicker picker) {
-            return new Placing(filter, picker, services, regions);
+    record Selectors(
+            CandidateFilter candidateFilter,
+            TargetPicker enginePicker,
+            TargetPicker servicePicker,
+            HomeRegions homeRegions) {
+        Selectors withEnginePicker(TargetPicker picker) {
+            return new Selectors(candidateFilter, picker, servicePicker, homeRegions);
         }
     }
 
@@ -66,32 +66,32 @@
     /** Holds the parts a context is made of. */
     record Parts(
             Clock clock,
-            CallerProtocol protocol,
+            HeaderCodec protocol,
             Knowledge knowledge,
-            Targets targets,
-            Placing placing,
+            TargetConnections targetConnections,
+            Selectors selectors,
             ColdGate coldGate,
-            RepeatBudgets budgets,
-            Answers answers,
-            FlowCounters counters,
-            Arrivals arrivals,
-            Intake.Turns turns,
+            RetryBudgets retryBudgets,
+            ResponseFactory responses,
+            RequestMeters meters,
+            ArrivalTracker arrivalTracker,
+            RequestQueue.LoopScheduler loopScheduler,
             Timer timer) {}
 
     private RouterContext(Parts p) {
         mClock = p.clock();
         mProtocol = p.protocol();
         mKnowledge = p.knowledge();
-        mTargets = p.targets();
-        mPlacing = p.placing();
+        mTargetConnections = p.targetConnections();
+        mSelectors = p.selectors();
         mColdGate = p.coldGate();
-        mCrashes = new CrashWatch(p.targets(), p.knowledge().quarantine());
-        mBudgets = p.budgets();
-        mAnswers = p.answers();
-        mCounters = p.counters();
-        mArrivals = p.arrivals();
-        mIntake = new Intake(mClock, mArrivals, p.turns());
-        mLag = new LoopLag(Arrivals.TURN_MILLIS, mClock.nowMillis());
+        mCrashDetector = new CrashDetector(p.targetConnections(), p.knowledge().quarantine());
+        mRetryBudgets = p.retryBudgets();
+        mResponses = p.responses();
+        mMeters = p.meters();
+        mArrivalTracker = p.arrivalTracker();
+        mRequestQueue = new RequestQueue(mClock, mArrivalTracker, p.loopScheduler());
+        mLoopLag = new EventLoopLag(ArrivalTracker.ITERATION_MILLIS, mClock.nowMillis());
         mTimer = p.timer();
     }
 
@@ -104,13 +104,13 @@
     }
 
     /** Returns the notes on when requests come. */
-    Arrivals arrivals() {
-        return mArrivals;
+    ArrivalTracker arrivalTracker() {
+        return mArrivalTracker;
     }
 
     /** Returns what orders the requests that have been read. */
-    Intake intake() {
-        return mIntake;
+    RequestQueue requestQueue() {
+        return mRequestQueue;
     }
 
     /** Returns what tells the refused callers of a pool when to come back. */
@@ -119,8 +119,8 @@
     }
 
     /** Returns the share of a pool's requests that fail. */
-    ErrorRate errors(String pool) {
-        return mErrors.computeIfAbsent(pool, p -> new ErrorRate());
+    ErrorRate errorRate(String pool) {
+        return mErrorRates.computeIfAbsent(pool, p -> new ErrorRate());
     }
 
     /** Returns what runs tasks later. */
@@ -129,11 +129,11 @@
     }
 
     /** Returns the watch on the event loop. */
-    LoopLag lag() {
-        return mLag;
+    EventLoopLag loopLag() {
+        return mLoopLag;
     }
 
-    CallerProtocol protocol() {
+    HeaderCodec protocol() {
         return mProtocol;
     }
 
@@ -141,16 +141,16 @@
         return mKnowledge;
     }
 
-    Targets targets() {
-        return mTargets;
+    TargetConnections targetConnections() {
+        return mTargetConnections;
     }
 
-    Placing placing() {
-        return mPlacing;
+    Selectors selectors() {
+        return mSelectors;
     }
 
-    void setPlacing(Placing placing) {
-        mPlacing = placing;
+    void setSelectors(Selectors placing) {
+        mSelectors = placing;
     }
 
     ColdGate coldGate() {
@@ -158,39 +158,39 @@
     }
 
     /** Returns what finds out which targets have ended, and under which requests. */
-    CrashWatch crashes() {
-        return mCrashes;
+    CrashDetector crashDetector() {
+        return mCrashDetector;
     }
 
     DecisionLog decisions() {
         return mDecisions;
     }
 
-    RepeatBudgets budgets() {
-        return mBudgets;
+    RetryBudgets retryBudgets() {
+        return mRetryBudgets;
     }
 
-    Answers answers() {
-        return mAnswers;
+    ResponseFactory responses() {
+        return mResponses;
     }
 
-    FlowCounters counters() {
-        return mCounters;
+    RequestMeters meters() {
+        return mMeters;
     }
 
-    Set<RequestFlow> flows() {
-        return mFlows;
+    Set<RequestFlow> activeRequests() {
+        return mActiveRequests;
     }
 
     Set<CallerConnection> connections() {
         return mConnections;
     }
 
-    boolean isLeaving() {
-        return mLeaving;
+    boolean isDraining() {
+        return mDraining;
     }
 
-    void leave() {
-        mLeaving = true;
+    void startDraining() {
+        mDraining = true;
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
@@ -17,10 +17,10 @@
 import org.forkseam.core.util.DecisionLog;
 import org.forkseam.direct.RouterSettings;
 import org.forkseam.direct.io.Connector;
-import org.forkseam.direct.io.EarlyListener;
+import org.forkseam.direct.io.EarlyServerSocket;
 import org.forkseam.direct.know.Knowledge;
 import org.forkseam.direct.log.Event;
-import org.forkseam.direct.spi.CallerProtocol;
+import org.forkseam.direct.spi.HeaderCodec;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -40,37 +40,37 @@
     public static final String NAME = "router";
 
     /** Deadlines and silent targets are looked for so often. */
-    private static final long TICK_MILLIS = Arrivals.TURN_MILLIS;
+    private static final long TICK_MILLIS = ArrivalTracker.ITERATION_MILLIS;
 
     /** Connections are looked through so often. */
-    private static final long TIDY_MILLIS = 500;
+    private static final long CLEANUP_MILLIS = 500;
 
     /** The balancer has noticed by then that this router takes no new connections. */
-    private static final long BALANCER_MILLIS = 2_600;
+    private static final long BALANCER_DETECTION_MILLIS = 2_600;
 
     /** The process ends so long before it would be killed. */
     private static final long STOP_MARGIN_MILLIS = 400;
 
     /** Share of the pool's mean that a home may carry before requests spill. Origin: rounds. */
-    private static final double HOME_SHARE_OF_CAP = 1.0;
+    private static final double HOME_LOAD_FACTOR = 1.0;
 
-    private static final int HOME_MARGIN = 2;
+    private static final int HOME_EXTRA_REQUESTS = 2;
 
     /** Routers reckoned with at least when what all may use is divided: some may not be known. */
-    private static final int MIN_ROUTERS = 4;
+    private static final int MIN_ROUTER_COUNT = 4;
 
     /** Part of the repeats allowed besides a share that is used; one router may be unknown. */
-    private static final double ALLOWANCE_SHARE = 0.7;
+    private static final double USED_ALLOWANCE_SHARE = 0.7;
 
     private final EventLoop mLoop;
-    private final EarlyListener mListener;
+    private final EarlyServerSocket mListener;
     private final Knowledge mKnowledge;
     private final RouterContext mContext;
     private final CallerServer mServer;
     private RouterSettings.Bounds mBounds;
     private CompletableFuture<Void> mStopped;
-    private long mLeaveAt;
-    private long mTidiedAt;
+    private long mDrainStartMillis;
+    private long mLastCleanupMillis;
 
     private RouterService(EventLoop loop, Clock clock, RouterSettings settings, Parts p) {
         mLoop = loop;
@@ -83,31 +83,31 @@
                                 clock,
                                 p.protocol(),
                                 p.knowledge(),
-                                new Targets(Connector.of(loop), clock),
-                                new RouterContext.Placing(
+                                new TargetConnections(Connector.of(loop), clock),
+                                new RouterContext.Selectors(
                                         CandidateFilter.of(p.random()),
                                         homePicker(mBounds),
                                         LeastLoadedPicker.of(p.random()),
                                         HomeRegions.of(settings.regions())),
                                 ColdGate.of(p.knowledge()::shareFor, mBounds.coldOvershoot()),
-                                new RepeatBudgets(repeats(mBounds), this::routers),
-                                new Answers(p.protocol(), p.random()),
-                                new FlowCounters(),
-                                new Arrivals(clock, p.listener().openedMillis(clock)),
-                                turns(loop),
+                                new RetryBudgets(retryBounds(mBounds), this::routerCount),
+                                new ResponseFactory(p.protocol(), p.random()),
+                                new RequestMeters(),
+                                new ArrivalTracker(clock, p.listener().openedMillis(clock)),
+                                loopScheduler(loop),
                                 timer(loop)));
         mServer = new CallerServer(loop, mContext);
     }
 
-    private static Intake.Turns turns(EventLoop loop) {
-        return new Intake.Turns() {
+    private static RequestQueue.LoopScheduler loopScheduler(EventLoop loop) {
+        return new RequestQueue.LoopScheduler() {
             @Override
-            public void inThisTurn(Runnable task) {
+            public void runThisIteration(Runnable task) {
                 loop.execute(task);
             }
 
             @Override
-            public void inNextTurn(Runnable task) {
+            public void runNextIteration(Runnable task) {
                 loop.schedule(task, 0, TimeUnit.MILLISECONDS); // looked for once a turn
             }
         };
@@ -118,12 +118,12 @@
     }
 
     private static TargetPicker homePicker(RouterSettings.Bounds b) {
-        return HomePicker.of(b.loadMultiple() * HOME_SHARE_OF_CAP, HOME_MARGIN);
+        return HomePicker.of(b.maxLoadRatio() * HOME_LOAD_FACTOR, HOME_EXTRA_REQUESTS);
     }
 
-    private static RepeatBudgets.Bounds repeats(RouterSettings.Bounds b) {
-        return new RepeatBudgets.Bounds(
-                b.repeatShare(), b.repeatAllowance() * ALLOWANCE_SHARE, b.repeatWindowMillis());
+    private static RetryBudgets.Bounds retryBounds(RouterSettings.Bounds b) {
+        return new RetryBudgets.Bounds(
+                b.retryShare(), b.retryAllowance() * USED_ALLOWANCE_SHARE, b.retryWindowMillis());
     }
 
     /**
@@ -132,9 +132,9 @@
      * @param listener where callers connect
      */
     public record Parts(
-            EarlyListener listener,
+            EarlyServerSocket listener,
             Knowledge knowledge,
-            CallerProtocol protocol,
+            HeaderCodec protocol,
             RandomGenerator random) {}
 
     /** Creates the service. */
@@ -177,9 +177,11 @@
         mLoop.execute(
                 () -> {
                     mStopped = stopped;
-                    mLeaveAt = mContext.now();
-                    mContext.leave();
-                    Event.always("router_leaving").with("in_flight", mContext.flows().size()).log();
+                    mDrainStartMillis = mContext.now();
+                    mContext.startDraining();
+                    Event.always("router_leaving")
+                            .with("in_flight", mContext.activeRequests().size())
+                            .log();
                 });
         return stopped;
     }
@@ -189,9 +191,10 @@
         mLoop.execute(
                 () -> {
                     mBounds = bounds;
-                    mContext.setPlacing(mContext.placing().withEngines(homePicker(bounds)));
+                    mContext.setSelectors(
+                            mContext.selectors().withEnginePicker(homePicker(bounds)));
                     mContext.coldGate().setOvershoot(bounds.coldOvershoot());
-                    mContext.budgets().setBounds(repeats(bounds));
+                    mContext.retryBudgets().setBounds(retryBounds(bounds));
                 });
     }
 
@@ -202,26 +205,26 @@
 
     /** Returns the counts, to be bound to a registry on the event loop. */
     public MeterBinder meters() {
-        return mContext.counters();
+        return mContext.meters();
     }
 
     /** Returns whether the balancer should send callers here. */
     public boolean isReady() {
-        return !mContext.isLeaving() && mKnowledge.isComplete();
+        return !mContext.isDraining() && mKnowledge.isComplete();
     }
 
     @Override
     public Object dump() {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("in_flight", mContext.flows().size());
-        m.put("waiting", mContext.intake().size());
-        m.put("loop_late_ms", mContext.lag().latenessMillis());
+        m.put("in_flight", mContext.activeRequests().size());
+        m.put("waiting", mContext.requestQueue().size());
+        m.put("loop_late_ms", mContext.loopLag().lagMillis());
         m.put("callers", mContext.connections().size());
-        m.put("target_connections", mContext.targets().open());
-        m.put("target_connections_opened", mContext.targets().opened());
+        m.put("target_connections", mContext.targetConnections().openCount());
+        m.put("target_connections_opened", mContext.targetConnections().openedCount());
         m.put("cold_passed_over", mContext.coldGate().passedOver());
-        m.put("target_crashes", mContext.crashes().crashes());
-        m.put("leaving", mContext.isLeaving());
+        m.put("target_crashes", mContext.crashDetector().crashCount());
+        m.put("leaving", mContext.isDraining());
         m.put("targets", mKnowledge.targets().all().stream().map(this::dump).toList());
         return m;
     }
@@ -245,46 +248,47 @@
 
     private void tick() {
         long now = mContext.now();
-        mContext.lag().onTick(now);
-        mContext.intake().onTick();
-        List.copyOf(mContext.flows()).forEach(f -> f.onTick(now));
-        if (now - mTidiedAt >= TIDY_MILLIS) {
-            mTidiedAt = now;
-            tidy(now);
+        mContext.loopLag().onTick(now);
+        mContext.requestQueue().onTick();
+        List.copyOf(mContext.activeRequests()).forEach(f -> f.onTick(now));
+        if (now - mLastCleanupMillis >= CLEANUP_MILLIS) {
+            mLastCleanupMillis = now;
+            closeStaleConnections(now);
         }
         if (mStopped != null) {
-            leave(now);
+            continueDraining(now);
         }
     }
 
-    private void tidy(long now) {
+    private void closeStaleConnections(long now) {
         Map<TargetStart, Target> known = new HashMap<>();
         for (Target t : mKnowledge.targets().all()) {
             known.put(t.start(), t);
-            mContext.targets().limit(t, mKnowledge.config().pool(t.entry().pool()), routers());
+            mContext.targetConnections()
+                    .setLimit(t, mKnowledge.config().pool(t.entry().pool()), routerCount());
         }
-        mContext.targets().tidy(known);
+        mContext.targetConnections().closeUnused(known);
         CallerLimits limits = mKnowledge.config().limits();
         List.copyOf(mContext.connections()).forEach(c -> c.closeIfStale(now, limits));
     }
 
-    private int routers() {
-        return Math.max(MIN_ROUTERS, mKnowledge.routers());
+    private int routerCount() {
+        return Math.max(MIN_ROUTER_COUNT, mKnowledge.routers());
     }
 
-    private void leave(long now) {
-        long since = now - mLeaveAt;
-        if (since < BALANCER_MILLIS) {
+    private void continueDraining(long now) {
+        long since = now - mDrainStartMillis;
+        if (since < BALANCER_DETECTION_MILLIS) {
             return;
         }
-        mServer.stopListening();
+        mServer.closeListener();
         List.copyOf(mContext.connections()).forEach(CallerConnection::closeIfIdle);
         boolean busy = mContext.connections().stream().anyMatch(CallerConnection::isBusy);
-        boolean late = since > mBounds.stopMillis() - STOP_MARGIN_MILLIS;
+        boolean late = since > mBounds.shutdownMillis() - STOP_MARGIN_MILLIS;
         if (busy && !late) {
             return;
         }
-        Event.always("router_left").with("in_flight", mContext.flows().size()).log();
+        Event.always("router_left").with("in_flight", mContext.activeRequests().size()).log();
         mStopped.complete(null);
         mStopped = null;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Targets.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetConnections.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 
 /** Keeps the connections to targets, a pool for each start of a target. */
-final class Targets {
+final class TargetConnections {
     /** Share of a target's connections that all routers together use. */
     private static final double USED_SHARE = 0.9;
 
@@ -24,7 +24,7 @@
     private final Clock mClock;
     private final Map<TargetStart, ConnectionPool> mPools = new HashMap<>();
 
-    Targets(Connector connector, Clock clock) {
+    TargetConnections(Connector connector, Clock clock) {
         mConnector = connector;
         mClock = clock;
     }
@@ -36,7 +36,7 @@
     }
 
     /** Sets each target's limit to this router's share of what the target takes. */
-    void limit(Target t, Optional<Pool> pool, int routers) {
+    void setLimit(Target t, Optional<Pool> pool, int routers) {
         int all = pool.map(Pool::maxConnections).orElse(0);
         if (all > 0) {
             pool(t).setLimit(Math.max(2, (int) (USED_SHARE * all / Math.max(1, routers))));
@@ -47,7 +47,7 @@
      * Closes connections that are idle for long, all idle ones to targets that leave, and those to
      * targets that are not known.
      */
-    void tidy(Map<TargetStart, Target> known) {
+    void closeUnused(Map<TargetStart, Target> known) {
         Iterator<Map.Entry<TargetStart, ConnectionPool>> i = mPools.entrySet().iterator();
         while (i.hasNext()) {
             Map.Entry<TargetStart, ConnectionPool> e = i.next();
@@ -61,11 +61,11 @@
         }
     }
 
-    int open() {
-        return mPools.values().stream().mapToInt(ConnectionPool::open).sum();
+    int openCount() {
+        return mPools.values().stream().mapToInt(ConnectionPool::openCount).sum();
     }
 
-    long opened() {
-        return mConnector.opened();
+    long openedCount() {
+        return mConnector.openedCount();
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestPlacement.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
@@ -21,7 +21,7 @@
  * Chooses the targets of one request, and where a target copies a prompt from that it has not read.
  * Used on the event loop.
  */
-final class RequestPlacement {
+final class TargetSelection {
     private final RouterContext mContext;
     private final String mKey;
     private final long mKeyHash;
@@ -29,7 +29,7 @@
     private final Set<String> mTried = new HashSet<>();
     private Optional<String> mCopySource = Optional.empty();
 
-    RequestPlacement(RouterContext context, CallerRequest request) {
+    TargetSelection(RouterContext context, CallerRequest request) {
         mContext = context;
         Optional<Prompt> prompt = request.head().prompt();
         mKey = prompt.map(Prompt::sharedKey).orElse(request.id());
@@ -53,14 +53,15 @@
     }
 
     /** Chooses a target that this request was not sent to yet. */
-    Optional<Pick> next(Admission admission) {
+    Optional<Pick> selectNext(Admission admission) {
         long now = mContext.now();
         String pool = admission.pool();
         ColdStart cold = coldStart(admission);
-        List<Target> all = allowed(admission);
+        List<Target> all = allowedTargets(admission);
         List<Target> admitted = mContext.coldGate().admitted(all, cold, now);
-        int resting = all.size() - admitted.size() + resting(admitted, now);
-        CandidateFilter.Candidates c = mContext.placing().filter().of(admitted, mTried, now);
+        int resting = all.size() - admitted.size() + countResting(admitted, now);
+        CandidateFilter.Candidates c =
+                mContext.selectors().candidateFilter().of(admitted, mTried, now);
         PickRequest request =
                 new PickRequest(
                         mKey, mSharedTokens, mContext.knowledge().seats().table(pool), resting);
@@ -70,12 +71,12 @@
     }
 
     /** Returns the targets of a request's pool in the regions that it may go to. */
-    private List<Target> allowed(Admission a) {
+    private List<Target> allowedTargets(Admission a) {
         List<Target> pool = mContext.knowledge().targets().pool(a.pool());
-        return mContext.placing().regions().allowed(pool, a.route(), a.team());
+        return mContext.selectors().homeRegions().allowed(pool, a.route(), a.team());
     }
 
-    private static int resting(List<Target> targets, long now) {
+    private static int countResting(List<Target> targets, long now) {
         int n = 0;
         for (Target t : targets) {
             n += t.rests(now) ? 1 : 0;
@@ -98,9 +99,9 @@
      *
      * @param holdsOff whether one is known to want work again, and none does now
      */
-    String whyNone(Admission admission, boolean holdsOff) {
+    String unavailableReason(Admission admission, boolean holdsOff) {
         long now = mContext.now();
-        List<Target> all = allowed(admission);
+        List<Target> all = allowedTargets(admission);
         long coldMillis = coldStart(admission).millis();
         if (all.stream().anyMatch(t -> t.takesWork(now) && t.isCold(coldMillis, now))) {
             return "cold";
@@ -118,10 +119,10 @@
      * Returns in how many milliseconds the first target that a request may go to wants work again;
      * empty if one does now, or none is known to.
      */
-    OptionalLong freeAgainIn(Admission admission) {
+    OptionalLong availableInMillis(Admission admission) {
         long now = mContext.now();
         OptionalLong first = OptionalLong.empty();
-        for (Target t : allowed(admission)) {
+        for (Target t : allowedTargets(admission)) {
             if (t.takesWork(now)) {
                 return OptionalLong.empty();
             }
@@ -136,7 +137,7 @@
 
     private TargetPicker picker(Admission a) {
         boolean engine = a.config().pool(a.pool()).map(Pool::engine).orElse(false);
-        return engine ? mContext.placing().engines() : mContext.placing().services();
+        return engine ? mContext.selectors().enginePicker() : mContext.selectors().servicePicker();
     }
 
     /** Finds a target from which this one can copy the prompt it is not likely to have. */
@@ -154,7 +155,7 @@
     }
 
     /** Lets the request go once more to targets that it was sent to. */
-    void forgetTried() {
+    void clearTried() {
         mTried.clear();
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/Chunks.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/ChunkEncoder.java
@@ -13,16 +13,16 @@
  *
  * @since 0.3
  */
-public final class Chunks {
-    private static final int FRAME_BYTES = 12;
+public final class ChunkEncoder {
+    private static final int MAX_FRAMING_BYTES = 12;
     private static final int CRLF = '\r' << 8 | '\n';
 
-    private Chunks() {}
+    private ChunkEncoder() {}
 
     /** Returns a buffer that holds the part as one chunk; the part is released. */
-    public static ByteBuf of(ByteBufAllocator allocator, ByteBuf part) {
+    public static ByteBuf encode(ByteBufAllocator allocator, ByteBuf part) {
         int length = part.readableBytes();
-        ByteBuf chunk = allocator.directBuffer(length + FRAME_BYTES);
+        ByteBuf chunk = allocator.directBuffer(length + MAX_FRAMING_BYTES);
         ByteBufUtil.writeAscii(chunk, Integer.toHexString(length));
         chunk.writeShort(CRLF);
         chunk.writeBytes(part);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/ConnectionPool.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/ConnectionPool.java
@@ -18,7 +18,7 @@
     private final String mAddress;
     private final Deque<HttpConnection> mIdle = new ArrayDeque<>();
     private int mLimit = Integer.MAX_VALUE;
-    private int mOpen;
+    private int mOpenCount;
     private boolean mClosed;
 
     private ConnectionPool(Connector connector, Clock clock, String address) {
@@ -38,8 +38,8 @@
     }
 
     /** Returns the connections open or coming up. */
-    public int open() {
-        return mOpen;
+    public int openCount() {
+        return mOpenCount;
     }
 
     /**
@@ -47,35 +47,36 @@
      *
      * @param maxIdleMillis one that has been idle for longer is not used
      */
-    public void acquire(long maxIdleMillis, ConnectionUser user) {
+    public void acquire(long maxIdleMillis, ConnectionCallback user) {
         long now = mClock.nowMillis();
         while (!mIdle.isEmpty()) {
             HttpConnection c = mIdle.pollFirst();
-            if (c.isUsable() && c.idleMillis(now) < Math.min(maxIdleMillis, c.keepMillis())) {
+            if (c.isUsable() && c.idleMillis(now) < Math.min(maxIdleMillis, c.maxIdleMillis())) {
                 user.onConnection(c);
                 return;
             }
             c.close();
         }
-        if (mOpen >= mLimit) {
-            user.onNone(BreakKind.NO_CONNECTION_FREE, mOpen + " connections open");
+        if (mOpenCount >= mLimit) {
+            user.onConnectionFailed(
+                    ExchangeFailure.NO_CONNECTION_FREE, mOpenCount + " connections open");
             return;
         }
-        replace(user);
+        openReplacement(user);
     }
 
     /**
      * Brings a connection that is opened anew in the place of one that has just broken, which may
      * still count as open: whatever idle ones and whatever limit there are.
      */
-    public void replace(ConnectionUser user) {
-        mOpen++;
+    public void openReplacement(ConnectionCallback user) {
+        mOpenCount++;
         HttpConnection c = new HttpConnection(this);
-        mConnector.connect(mAddress, c, user, this::onFailed);
+        mConnector.connect(mAddress, c, user, this::onConnectFailed);
     }
 
-    private void onFailed() {
-        mOpen--;
+    private void onConnectFailed() {
+        mOpenCount--;
     }
 
     void release(HttpConnection c, boolean reusable) {
@@ -88,7 +89,7 @@
     }
 
     void onClosed(HttpConnection c) {
-        mOpen--;
+        mOpenCount--;
         mIdle.remove(c);
     }
 
@@ -98,7 +99,7 @@
         Iterator<HttpConnection> i = mIdle.descendingIterator();
         while (i.hasNext()) {
             HttpConnection c = i.next();
-            if (c.idleMillis(now) >= Math.min(maxIdleMillis, c.keepMillis())) {
+            if (c.idleMillis(now) >= Math.min(maxIdleMillis, c.maxIdleMillis())) {
                 i.remove();
                 c.close();
             }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/Connector.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/Connector.java
@@ -19,12 +19,12 @@
  */
 public final class Connector {
     /** Hosts are a few milliseconds apart, so a longer wait means a dead host or a lost packet. */
-    public static final int CONNECT_MILLIS = 300;
+    public static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     private static final int MAX_HEADER_BYTES = 32_768;
 
     private final Bootstrap mBootstrap;
-    private long mOpened;
+    private long mOpenedCount;
 
     private Connector(EventLoopGroup group) {
         mBootstrap =
@@ -33,7 +33,7 @@
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(ChannelOption.ALLOCATOR, Buffers.allocator())
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
     }
 
     /** Creates a connector. */
@@ -42,11 +42,11 @@
     }
 
     /** Returns the connections that came up since the start. */
-    public long opened() {
-        return mOpened;
+    public long openedCount() {
+        return mOpenedCount;
     }
 
-    void connect(String address, HttpConnection c, ConnectionUser user, Runnable failed) {
+    void connect(String address, HttpConnection c, ConnectionCallback user, Runnable failed) {
         Bootstrap b = mBootstrap.clone();
         b.handler(
                 new ChannelInitializer<Channel>() {
@@ -59,19 +59,20 @@
                 .addListener(
                         f -> {
                             if (f.isSuccess()) {
-                                mOpened++;
+                                mOpenedCount++;
                                 user.onConnection(c);
                             } else {
                                 failed.run();
-                                user.onNone(kindOf(f.cause()), String.valueOf(f.cause()));
+                                user.onConnectionFailed(
+                                        failureOf(f.cause()), String.valueOf(f.cause()));
                             }
                         });
     }
 
-    private static BreakKind kindOf(Throwable cause) {
+    private static ExchangeFailure failureOf(Throwable cause) {
         boolean refused =
                 cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
-        return refused ? BreakKind.NOBODY_LISTENS : BreakKind.UNREACHABLE;
+        return refused ? ExchangeFailure.NOBODY_LISTENS : ExchangeFailure.UNREACHABLE;
     }
 
     private static HttpClientCodec codec() {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/EarlyListener.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/EarlyServerSocket.java
@@ -24,16 +24,16 @@
  *
  * @since 0.3
  */
-public final class EarlyListener {
+public final class EarlyServerSocket {
     private static final int BACKLOG = 1024;
 
     /** Connections taken in one turn of the event loop: all that can have queued up. */
-    private static final int MAX_ACCEPTS = BACKLOG;
+    private static final int MAX_ACCEPTS_PER_READ = BACKLOG;
 
     private final ServerSocketChannel mSocket;
     private final long mOpenedNanos = System.nanoTime();
 
-    private EarlyListener(ServerSocketChannel socket) {
+    private EarlyServerSocket(ServerSocketChannel socket) {
         mSocket = socket;
     }
 
@@ -42,11 +42,11 @@
      *
      * @throws IOException if the address cannot be listened on
      */
-    public static EarlyListener open(InetSocketAddress address) throws IOException {
+    public static EarlyServerSocket open(InetSocketAddress address) throws IOException {
         ServerSocketChannel socket = ServerSocketChannel.open();
         socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         socket.bind(address, BACKLOG);
-        return new EarlyListener(socket);
+        return new EarlyServerSocket(socket);
     }
 
     /** Returns where it listens. */
@@ -70,7 +70,8 @@
                 .channelFactory(() -> new NioServerSocketChannel(mSocket))
                 .option(
                         ChannelOption.RCVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS))
+                        new ServerChannelRecvByteBufAllocator()
+                                .maxMessagesPerRead(MAX_ACCEPTS_PER_READ))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.ALLOCATOR, Buffers.allocator())
                 .childHandler(connections)
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/EventSplitter.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/EventSplitter.java
@@ -19,10 +19,10 @@
 public final class EventSplitter {
     private static final String ID = "id:";
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
-    private byte[] mHeld = NOTHING;
-    private byte[] mLast = NOTHING;
+    private byte[] mBuffered = EMPTY;
+    private byte[] mLastTaken = EMPTY;
 
     private EventSplitter() {}
 
@@ -34,7 +34,7 @@
     /** Takes bytes in. */
     public void add(ByteBuf bytes) {
         byte[] b = ByteBufUtil.getBytes(bytes);
-        mHeld = mHeld.length == 0 ? b : joined(mHeld, b);
+        mBuffered = mBuffered.length == 0 ? b : joined(mBuffered, b);
     }
 
     private static byte[] joined(byte[] a, byte[] b) {
@@ -44,15 +44,18 @@
     }
 
     /** Returns the whole events that have come since the last call; maybe none. */
-    public ByteBuf takeWhole() {
-        int end = endOfLastEvent(mHeld);
+    public ByteBuf takeCompleteEvents() {
+        int end = endOfLastEvent(mBuffered);
         if (end == 0) {
             return Unpooled.EMPTY_BUFFER;
         }
         // Mostly all bytes are whole events: then they are passed on without another copy.
-        mLast = end == mHeld.length ? mHeld : Arrays.copyOf(mHeld, end);
-        mHeld = end == mHeld.length ? NOTHING : Arrays.copyOfRange(mHeld, end, mHeld.length);
-        return Unpooled.wrappedBuffer(mLast);
+        mLastTaken = end == mBuffered.length ? mBuffered : Arrays.copyOf(mBuffered, end);
+        mBuffered =
+                end == mBuffered.length
+                        ? EMPTY
+                        : Arrays.copyOfRange(mBuffered, end, mBuffered.length);
+        return Unpooled.wrappedBuffer(mLastTaken);
     }
 
     private static int endOfLastEvent(byte[] b) {
@@ -71,13 +74,13 @@
     }
 
     /** Returns whether bytes of an unfinished event are held back. */
-    public boolean isHolding() {
-        return mHeld.length > 0;
+    public boolean hasPartialEvent() {
+        return mBuffered.length > 0;
     }
 
     /** Returns the id of the last whole event passed. */
-    public Optional<String> lastId() {
-        String[] lines = new String(mLast, StandardCharsets.UTF_8).split("\r?\n");
+    public Optional<String> lastEventId() {
+        String[] lines = new String(mLastTaken, StandardCharsets.UTF_8).split("\r?\n");
         for (int i = lines.length - 1; i >= 0; i--) {
             if (lines[i].startsWith(ID)) {
                 return Optional.of(lines[i].substring(ID.length()).strip());
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/BreakKind.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/ExchangeFailure.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.io;
 
 /** Says how an exchange with a target ended without a whole answer. */
-public enum BreakKind {
+public enum ExchangeFailure {
     /** No connection came up; no byte of the request was sent. */
     UNREACHABLE,
     /** The host answers that nobody listens at the address; no byte was sent. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/HttpConnection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/HttpConnection.java
@@ -27,14 +27,14 @@
 public final class HttpConnection extends ChannelInboundHandlerAdapter {
     private final ConnectionPool mPool;
     private Channel mChannel;
-    private AnswerListener mListener;
-    private Predicate<HttpResponse> mBelongs;
+    private ResponseListener mListener;
+    private Predicate<HttpResponse> mMatchesRequest;
     private ChannelFuture mWritten;
-    private boolean mInAnswer;
+    private boolean mInResponse;
     private boolean mSkipping;
     private boolean mReusable = true;
     private long mIdleSince;
-    private long mKeepMillis = Long.MAX_VALUE;
+    private long mMaxIdleMillis = Long.MAX_VALUE;
 
     HttpConnection(ConnectionPool pool) {
         mPool = pool;
@@ -48,33 +48,33 @@
      * @param belongs whether an answer's head belongs to this request
      */
     public void send(
-            FullHttpRequest request, Predicate<HttpResponse> belongs, AnswerListener listener) {
+            FullHttpRequest request, Predicate<HttpResponse> belongs, ResponseListener listener) {
         mListener = listener;
-        mBelongs = belongs;
-        mInAnswer = false;
+        mMatchesRequest = belongs;
+        mInResponse = false;
         mSkipping = false;
         mWritten = mChannel.writeAndFlush(request);
     }
 
     /** Ends the exchange under way without a further word to its listener. */
-    public void abandon() {
+    public void abort() {
         mListener = null;
         close();
     }
 
     /** Gives back a connection on which nothing was sent. */
-    public void giveBack() {
+    public void release() {
         mPool.release(this, true);
     }
 
     /** Stops or goes on reading, so that a slow reader downstream holds the sender up. */
-    public void setReading(boolean reading) {
+    public void setAutoRead(boolean reading) {
         mChannel.config().setAutoRead(reading);
     }
 
     /** Keeps the connection no longer than this when idle. */
-    public void keepAtMost(long millis) {
-        mKeepMillis = Math.min(mKeepMillis, millis);
+    public void limitIdleMillis(long millis) {
+        mMaxIdleMillis = Math.min(mMaxIdleMillis, millis);
     }
 
     /** Returns whether a request can be sent on it. */
@@ -92,8 +92,8 @@
         return nowMillis - mIdleSince;
     }
 
-    long keepMillis() {
-        return mKeepMillis;
+    long maxIdleMillis() {
+        return mMaxIdleMillis;
     }
 
     void close() {
@@ -133,7 +133,7 @@
             return;
         }
         if (o.decoderResult().isFailure()) {
-            breakOff(BreakKind.MALFORMED, String.valueOf(o.decoderResult().cause()));
+            fail(ExchangeFailure.MALFORMED, String.valueOf(o.decoderResult().cause()));
             return;
         }
         if (o instanceof HttpResponse r) {
@@ -145,23 +145,23 @@
     }
 
     private void onResponse(HttpResponse r) {
-        mInAnswer = true;
+        mInResponse = true;
         if (r.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             mSkipping = true;
             return;
         }
-        if (!mBelongs.test(r)) {
+        if (!mMatchesRequest.test(r)) {
             mSkipping = true;
             mReusable = false;
             return;
         }
-        if (!HttpUtil.isKeepAlive(r) || !hasEnd(r)) {
+        if (!HttpUtil.isKeepAlive(r) || !isSelfDelimited(r)) {
             mReusable = false;
         }
         mListener.onHead(r);
     }
 
-    private static boolean hasEnd(HttpResponse r) {
+    private static boolean isSelfDelimited(HttpResponse r) {
         return HttpUtil.isTransferEncodingChunked(r)
                 || HttpUtil.isContentLengthSet(r)
                 || r.status().code() == 204
@@ -172,7 +172,7 @@
         boolean last = c instanceof LastHttpContent;
         if (mSkipping) {
             mSkipping = !last;
-            mInAnswer = !last;
+            mInResponse = !last;
             return;
         }
         ByteBuf bytes = c.content();
@@ -185,34 +185,34 @@
     }
 
     private void complete() {
-        AnswerListener l = mListener;
+        ResponseListener l = mListener;
         mListener = null;
-        mInAnswer = false;
+        mInResponse = false;
         // An answer that came before the request was written whole leaves the rest of it due.
         boolean written = mWritten.isDone() && mWritten.isSuccess();
         mPool.release(this, written);
-        l.onEnd();
+        l.onComplete();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        breakOff(BreakKind.RESET, String.valueOf(cause.getMessage()));
+        fail(ExchangeFailure.RESET, String.valueOf(cause.getMessage()));
         close();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         mReusable = false;
-        breakOff(BreakKind.CLOSED, mInAnswer ? "within the answer" : "before the answer");
+        fail(ExchangeFailure.CLOSED, mInResponse ? "within the answer" : "before the answer");
         mPool.onClosed(this);
     }
 
-    private void breakOff(BreakKind kind, String detail) {
-        AnswerListener l = mListener;
+    private void fail(ExchangeFailure kind, String detail) {
+        ResponseListener l = mListener;
         mListener = null;
         close();
         if (l != null) {
-            l.onBroken(kind, detail);
+            l.onExchangeFailed(kind, detail);
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/AnswerListener.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/ResponseListener.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** Hears what becomes of one exchange. Called on the event loop; nothing follows an end. */
-public interface AnswerListener {
+public interface ResponseListener {
     /** Tells of the answer's head. */
     void onHead(HttpResponse head);
 
@@ -15,8 +15,8 @@
     default void onReadComplete() {}
 
     /** Tells that the answer is whole. */
-    void onEnd();
+    void onComplete();
 
     /** Tells that no whole answer comes. */
-    void onBroken(BreakKind kind, String detail);
+    void onExchangeFailed(ExchangeFailure kind, String detail);
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/HttpCalls.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/SimpleHttpClient.java
@@ -26,25 +26,26 @@
  *
  * @since 0.2
  */
-public final class HttpCalls {
+public final class SimpleHttpClient {
     /** An idle connection older than this may have been forgotten by the other side. */
     private static final long MAX_IDLE_MILLIS = 4_000;
 
     private final EventLoop mLoop;
     private final ConnectionPool mPool;
     private final String mAddress;
-    private long mMade;
-    private long mBytes;
+    private long mCallCount;
+    private long mBytesRead;
 
-    private HttpCalls(EventLoop loop, Connector connector, Clock clock, String address) {
+    private SimpleHttpClient(EventLoop loop, Connector connector, Clock clock, String address) {
         mLoop = loop;
         mPool = ConnectionPool.of(connector, clock, address);
         mAddress = address;
     }
 
     /** Creates a client of one address. */
-    public static HttpCalls of(EventLoop loop, Connector connector, Clock clock, String address) {
-        return new HttpCalls(loop, connector, clock, address);
+    public static SimpleHttpClient of(
+            EventLoop loop, Connector connector, Clock clock, String address) {
+        return new SimpleHttpClient(loop, connector, clock, address);
     }
 
     /**
@@ -54,17 +55,17 @@
      * @param headers the header fields
      * @param body the whole body
      */
-    public record Reply(int status, HttpHeaders headers, byte[] body) {
+    public record Response(int status, HttpHeaders headers, byte[] body) {
         /** Returns a reply with another status. */
-        public Reply withStatus(int other) {
-            return new Reply(other, headers, body);
+        public Response withStatus(int other) {
+            return new Response(other, headers, body);
         }
     }
 
     /** Makes a call; the future fails with an {@link IOException} when no whole reply came. */
-    public CompletableFuture<Reply> call(
+    public CompletableFuture<Response> call(
             HttpMethod method, String uri, byte[] body, long timeoutMillis) {
-        mMade++;
+        mCallCount++;
         Call call = new Call(request(method, uri, body));
         call.mTimer =
                 mLoop.schedule(
@@ -72,7 +73,7 @@
                         timeoutMillis,
                         TimeUnit.MILLISECONDS);
         mPool.acquire(MAX_IDLE_MILLIS, call);
-        return call.mReply;
+        return call.mResponse;
     }
 
     private FullHttpRequest request(HttpMethod method, String uri, byte[] body) {
@@ -88,13 +89,13 @@
     }
 
     /** Returns the calls made since the start. */
-    public long made() {
-        return mMade;
+    public long callCount() {
+        return mCallCount;
     }
 
     /** Returns the bytes of replies read since the start. */
-    public long bytes() {
-        return mBytes;
+    public long bytesRead() {
+        return mBytesRead;
     }
 
     /** Closes idle connections. */
@@ -103,9 +104,9 @@
     }
 
     /** Is one call under way. */
-    private final class Call implements ConnectionUser, AnswerListener {
+    private final class Call implements ConnectionCallback, ResponseListener {
         private final FullHttpRequest mRequest;
-        private final CompletableFuture<Reply> mReply = new CompletableFuture<>();
+        private final CompletableFuture<Response> mResponse = new CompletableFuture<>();
         private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
         private java.util.concurrent.Future<?> mTimer;
         private HttpConnection mConnection;
@@ -117,8 +118,8 @@
 
         @Override
         public void onConnection(HttpConnection c) {
-            if (mReply.isDone()) {
-                c.giveBack();
+            if (mResponse.isDone()) {
+                c.release();
                 return;
             }
             mConnection = c;
@@ -126,7 +127,7 @@
         }
 
         @Override
-        public void onNone(BreakKind kind, String detail) {
+        public void onConnectionFailed(ExchangeFailure kind, String detail) {
             fail(kind + " " + detail);
         }
 
@@ -137,32 +138,33 @@
 
         @Override
         public void onBody(ByteBuf bytes) {
-            mBytes += bytes.readableBytes();
+            mBytesRead += bytes.readableBytes();
             byte[] b = ByteBufUtil.getBytes(bytes);
             mBody.write(b, 0, b.length);
         }
 
         @Override
-        public void onEnd() {
+        public void onComplete() {
             mTimer.cancel(false);
-            mReply.complete(new Reply(mHead.status().code(), mHead.headers(), mBody.toByteArray()));
+            mResponse.complete(
+                    new Response(mHead.status().code(), mHead.headers(), mBody.toByteArray()));
         }
 
         @Override
-        public void onBroken(BreakKind kind, String detail) {
+        public void onExchangeFailed(ExchangeFailure kind, String detail) {
             mConnection = null;
             fail(kind + " " + detail);
         }
 
         private void fail(String why) {
-            if (mReply.isDone()) {
+            if (mResponse.isDone()) {
                 return;
             }
             mTimer.cancel(false);
             if (mConnection != null) {
-                mConnection.abandon();
+                mConnection.abort();
             }
-            mReply.completeExceptionally(new IOException(mAddress + ": " + why));
+            mResponse.completeExceptionally(new IOException(mAddress + ": " + why));
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/CheckedFleetSource.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/CheckedFleetSource.java
@@ -25,14 +25,14 @@
     }
 
     @Override
-    public CompletableFuture<Versioned<OperatorState>> readOperators() {
-        return mSource.readOperators().thenApply(r -> checked(mEra, r));
+    public CompletableFuture<Versioned<OperatorState>> readOperatorState() {
+        return mSource.readOperatorState().thenApply(r -> checked(mEra, r));
     }
 
     @Override
-    public CompletableFuture<Versioned<OperatorState>> awaitOperators(
+    public CompletableFuture<Versioned<OperatorState>> awaitOperatorState(
             StorePosition since, long waitMillis) {
-        return mSource.awaitOperators(since, waitMillis).thenApply(r -> checked(mEra, r));
+        return mSource.awaitOperatorState(since, waitMillis).thenApply(r -> checked(mEra, r));
     }
 
     @Override
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public Map<String, Long> unusableEntries() {
-        return mSource.unusableEntries();
+    public Map<String, Long> invalidEntries() {
+        return mSource.invalidEntries();
     }
 
     /** Returns an answer that may be used, or fails. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/CheckedSharedRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/CheckedSharedRows.java
@@ -3,7 +3,7 @@
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRows;
+import org.forkseam.direct.spi.SharedRowStore;
 import org.forkseam.direct.spi.SourceException;
 import org.forkseam.direct.spi.Versioned;
 
@@ -14,11 +14,11 @@
  * Lets no answer of the store count that names an era which cannot be, and writes no row by what it
  * was in an earlier era: its revision may have been given out again to other content.
  */
-final class CheckedSharedRows implements SharedRows {
-    private final SharedRows mRows;
+final class CheckedSharedRows implements SharedRowStore {
+    private final SharedRowStore mRows;
     private final StoreEra mEra;
 
-    CheckedSharedRows(SharedRows rows, StoreEra era) {
+    CheckedSharedRows(SharedRowStore rows, StoreEra era) {
         mRows = rows;
         mEra = era;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
@@ -135,7 +135,7 @@
 
     void start() {
         if (!isStopped()) {
-            mSource.readOperators().whenComplete((read, e) -> onRead(read, e, this::takeAll));
+            mSource.readOperatorState().whenComplete((read, e) -> onRead(read, e, this::takeAll));
         }
     }
 
@@ -153,7 +153,7 @@
             return;
         }
         StorePosition since = mPosition;
-        mSource.awaitOperators(since, WAIT_MILLIS)
+        mSource.awaitOperatorState(since, WAIT_MILLIS)
                 .whenComplete((read, e) -> onWaited(read, e, since));
     }
 
@@ -207,7 +207,7 @@
     private void takeChanges(Versioned<OperatorState> read) {
         OperatorState s = read.value();
         s.config().ifPresent(c -> offer(c, "store"));
-        if (mEvacuations.change(read.position(), s.evacuated(), s.returned(), now())) {
+        if (mEvacuations.change(read.position(), s.evacuated(), s.restored(), now())) {
             onEvacuationsChanged("store");
         }
     }
@@ -227,7 +227,7 @@
     }
 
     private void onFailure(Throwable failure) {
-        if (SourceException.isHistoryGone(failure)) {
+        if (SourceException.isHistoryCompacted(failure)) {
             watch().onAnswer();
             readAnew();
             return;
@@ -282,7 +282,7 @@
             return;
         }
         mReadingNow = true;
-        mSource.readOperators()
+        mSource.readOperatorState()
                 .whenComplete(
                         (read, failure) -> {
                             mReadingNow = false;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/CrashWarnings.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/CrashWarnings.java
@@ -4,7 +4,7 @@
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRows;
+import org.forkseam.direct.spi.SharedRowStore;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -30,11 +30,11 @@
     /** A row is of no use after so long: the request has come again by then. Unit: ms. */
     private static final long KEPT_MILLIS = 600_000;
 
-    private final SharedRows mRows;
+    private final SharedRowStore mRows;
     private final Supplier<OptionalLong> mStoreMillis;
     private final Map<String, Long> mWrittenAt = BoundedMap.byInsertion(2 * MAX_ROWS);
 
-    CrashWarnings(SharedRows rows, Supplier<OptionalLong> storeMillis) {
+    CrashWarnings(SharedRowStore rows, Supplier<OptionalLong> storeMillis) {
         mRows = rows;
         mStoreMillis = storeMillis;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
@@ -15,7 +15,7 @@
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.FleetSource;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRows;
+import org.forkseam.direct.spi.SharedRowStore;
 
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
@@ -72,7 +72,7 @@
      */
     public record Sources(
             FleetSource fleet,
-            SharedRows shared,
+            SharedRowStore shared,
             List<String> peers,
             Supplier<Map<String, Long>> calls) {}
 
@@ -98,7 +98,7 @@
         mLoop = loop;
         mClock = clock;
         mCalls = sources.calls();
-        mUnusable = sources.fleet()::unusableEntries;
+        mUnusable = sources.fleet()::invalidEntries;
         mLink = new PeerLink(loop, self, random, this::onMessage);
         mPeers = PeerClient.of(loop, clock, sources.peers());
         FollowerBase.Surroundings around =
@@ -107,7 +107,7 @@
         FleetSource fleet = new CheckedFleetSource(sources.fleet(), mEra);
         mTargets = new TargetFollower(around, fleet, listMillis, this::onRestart);
         mConfig = new ConfigFollower(around, fleet, new OperatorListener());
-        SharedRows shared = new CheckedSharedRows(sources.shared(), mEra);
+        SharedRowStore shared = new CheckedSharedRows(sources.shared(), mEra);
         mRows = new RowFollower(around, shared, this::onRow);
         mSeats = new Seats(around, shared, mRows, mTargets.targets());
         mQuarantine = new Quarantine(around, shared, mRows);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerClient.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerClient.java
@@ -5,7 +5,7 @@
 
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.io.Connector;
-import org.forkseam.direct.io.HttpCalls;
+import org.forkseam.direct.io.SimpleHttpClient;
 
 import java.io.IOException;
 import java.util.List;
@@ -20,10 +20,10 @@
     private static final long CALL_MILLIS = 500;
     private static final int OK = 200;
 
-    private final List<HttpCalls> mPeers;
+    private final List<SimpleHttpClient> mPeers;
     private int mNext;
 
-    private PeerClient(List<HttpCalls> peers) {
+    private PeerClient(List<SimpleHttpClient> peers) {
         mPeers = peers;
     }
 
@@ -31,7 +31,7 @@
     static PeerClient of(EventLoop loop, Clock clock, List<String> addresses) {
         Connector c = Connector.of(loop);
         return new PeerClient(
-                addresses.stream().map(a -> HttpCalls.of(loop, c, clock, a)).toList());
+                addresses.stream().map(a -> SimpleHttpClient.of(loop, c, clock, a)).toList());
     }
 
     boolean hasPeers() {
@@ -40,12 +40,12 @@
 
     /** Asks the next router; the future fails if it knows nothing or cannot be reached. */
     CompletableFuture<PeerSnapshot> ask() {
-        HttpCalls peer = mPeers.get(mNext++ % mPeers.size());
+        SimpleHttpClient peer = mPeers.get(mNext++ % mPeers.size());
         return peer.call(HttpMethod.GET, PATH, new byte[0], CALL_MILLIS)
                 .thenApply(PeerClient::snapshot);
     }
 
-    private static PeerSnapshot snapshot(HttpCalls.Reply reply) {
+    private static PeerSnapshot snapshot(SimpleHttpClient.Response reply) {
         if (reply.status() != OK) {
             throw new CompletionException(new IOException("status " + reply.status()));
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
@@ -7,7 +7,7 @@
 import org.forkseam.core.util.Hashes;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRows;
+import org.forkseam.direct.spi.SharedRowStore;
 
 import java.util.List;
 import java.util.Map;
@@ -63,7 +63,7 @@
     }
 
     /** Creates one that knows nothing yet; terms are told by the clock of the rows' store. */
-    Quarantine(Surroundings around, SharedRows rows, RowFollower follower) {
+    Quarantine(Surroundings around, SharedRowStore rows, RowFollower follower) {
         super(around);
         mFollower = follower;
         mRows = new QuarantineRows(rows, follower);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
@@ -6,7 +6,7 @@
 import org.forkseam.core.util.Hashes;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRows;
+import org.forkseam.direct.spi.SharedRowStore;
 
 import java.util.HashSet;
 import java.util.List;
@@ -32,7 +32,7 @@
     /** Rows remembered: several routers may write the last few at once. */
     private static final int MAX_KNOWN = 2 * MAX_ROWS;
 
-    private final SharedRows mRows;
+    private final SharedRowStore mRows;
     private final RowFollower mFollower;
     private final Map<Long, Row> mKnown = BoundedMap.byInsertion(MAX_KNOWN);
     private final Set<Long> mWriting = new HashSet<>();
@@ -52,7 +52,7 @@
      */
     record Change(long content, Optional<QuarantineTerm> term) {}
 
-    QuarantineRows(SharedRows rows, RowFollower follower) {
+    QuarantineRows(SharedRowStore rows, RowFollower follower) {
         mRows = rows;
         mFollower = follower;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
@@ -5,7 +5,7 @@
 import org.forkseam.core.store.StoreTime;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRows;
+import org.forkseam.direct.spi.SharedRowStore;
 import org.forkseam.direct.spi.SourceException;
 import org.forkseam.direct.spi.Versioned;
 
@@ -36,7 +36,7 @@
     /** Rows that change within such a span are read together. Unit: milliseconds. */
     private static final long GATHER_MILLIS = 100;
 
-    private final SharedRows mRows;
+    private final SharedRowStore mRows;
     private final Consumer<SharedRow> mListener;
     private final ReaderRole mRole = ReaderRole.of(HEARD_MILLIS);
     private final RowTable mTable = new RowTable();
@@ -53,7 +53,7 @@
      *
      * @param listener is told of each row that changed or vanished, but for those of routers
      */
-    RowFollower(Surroundings around, SharedRows rows, Consumer<SharedRow> listener) {
+    RowFollower(Surroundings around, SharedRowStore rows, Consumer<SharedRow> listener) {
         super(around);
         mRows = rows;
         mListener = listener;
@@ -190,7 +190,7 @@
         boolean otherHistory =
                 failure == null
                         ? !read.position().isOfEraOf(since)
-                        : SourceException.isHistoryGone(failure);
+                        : SourceException.isHistoryCompacted(failure);
         if (otherHistory) {
             rereadUnlessTold(() -> mPosition, this::follow, this::readAll);
             return;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowRestorer.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowRestorer.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.know;
 
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRows;
+import org.forkseam.direct.spi.SharedRowStore;
 
 import java.util.Optional;
 
@@ -22,12 +22,12 @@
     /** A router that is cut off from the store may write its row again so late. */
     private static final long FORGET_ROUTERS_MILLIS = 60_000;
 
-    private final SharedRows mRows;
+    private final SharedRowStore mRows;
     private final RowTable mTable;
     private final RowFollower mFollower;
     private boolean mWriting;
 
-    RowRestorer(Surroundings around, SharedRows rows, RowTable table, RowFollower follower) {
+    RowRestorer(Surroundings around, SharedRowStore rows, RowTable table, RowFollower follower) {
         super(around);
         mRows = rows;
         mTable = table;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowTable.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowTable.java
@@ -163,13 +163,13 @@
     private static Entry unchanged(SharedRow own, StorePosition since, int era) {
         StorePosition at = own.position();
         if (at.isAfter(since)) {
-            return new Entry(own.at(StorePosition.of(era, 0)), true);
+            return new Entry(own.withPosition(StorePosition.of(era, 0)), true);
         }
-        return new Entry(own.at(StorePosition.of(era, at.revision())), false);
+        return new Entry(own.withPosition(StorePosition.of(era, at.revision())), false);
     }
 
     private static Entry changed(SharedRow own, SharedRow now) {
         boolean same = now.exists() && now.value().equals(own.value());
-        return new Entry(own.at(now.position()), !same);
+        return new Entry(own.withPosition(now.position()), !same);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetWords.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetWords.java
@@ -8,7 +8,7 @@
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.log.Event;
-import org.forkseam.direct.spi.AnswerHead;
+import org.forkseam.direct.spi.ResponseHead;
 
 import java.util.EnumMap;
 import java.util.List;
@@ -62,7 +62,7 @@
     // ---------------------------------------------------------------- answers
 
     /** Takes in what the head of a target's answer says. */
-    public void onAnswer(Target t, AnswerHead head) {
+    public void onAnswer(Target t, ResponseHead head) {
         if (head.wrongTarget()) {
             note(t, Word.REPLACED_BY_ANSWER, t.onReplaced());
             return;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/log/CountingAppender.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/log/BoundedAsyncAppender.java
@@ -16,7 +16,7 @@
  *
  * @since 0.2
  */
-public final class CountingAppender extends UnsynchronizedAppenderBase<ILoggingEvent> {
+public final class BoundedAsyncAppender extends UnsynchronizedAppenderBase<ILoggingEvent> {
     private static final int QUEUE_LINES = 1024;
 
     /** Lines that wait at the end are written for so long at most. */
@@ -28,13 +28,13 @@
     private final Appender<ILoggingEvent> mOut;
     private final Thread mWriter = new Thread(this::write, "log-writer");
 
-    private CountingAppender(Appender<ILoggingEvent> out) {
+    private BoundedAsyncAppender(Appender<ILoggingEvent> out) {
         mOut = out;
     }
 
     /** Creates an appender that never blocks and writes to another. */
-    public static CountingAppender to(Appender<ILoggingEvent> out) {
-        return new CountingAppender(out);
+    public static BoundedAsyncAppender to(Appender<ILoggingEvent> out) {
+        return new BoundedAsyncAppender(out);
     }
 
     @Override
--- a/forkseam-direct/src/main/java/org/forkseam/direct/log/Event.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/log/Event.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Builds one structured log line. A line's volume is bounded by {@link CountingAppender}; whether a
- * line is built at all is bounded here, so that a flood costs no processor time.
+ * Builds one structured log line. A line's volume is bounded by {@link BoundedAsyncAppender};
+ * whether a line is built at all is bounded here, so that a flood costs no processor time.
  *
  * @since 0.2
  */
@@ -18,7 +18,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger("forkseam");
     private static final AtomicLong SKIPPED = new AtomicLong();
-    private static final Event NONE = new Event(null);
+    private static final Event DISABLED = new Event(null);
 
     private static long sSecond;
     private static long sLines;
@@ -31,7 +31,7 @@
 
     /** Starts a line about a decision; it is left out when there were too many this second. */
     public static Event of(String name) {
-        return admits() ? new Event(LOG.atInfo().setMessage(name)) : NONE;
+        return tryAcquire() ? new Event(LOG.atInfo().setMessage(name)) : DISABLED;
     }
 
     /** Starts a line about a change of state, which is never left out. */
@@ -39,7 +39,7 @@
         return new Event(LOG.atWarn().setMessage(name));
     }
 
-    private static synchronized boolean admits() {
+    private static synchronized boolean tryAcquire() {
         long second = System.nanoTime() / 1_000_000_000L;
         if (second != sSecond) {
             sSecond = second;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/log/LineEncoder.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/log/JsonLineEncoder.java
@@ -18,27 +18,27 @@
  *
  * @since 0.2
  */
-public final class LineEncoder extends EncoderBase<ILoggingEvent> {
+public final class JsonLineEncoder extends EncoderBase<ILoggingEvent> {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final byte[] NOTHING = new byte[0];
-    private static final int USUAL_BYTES = 512;
+    private static final byte[] EMPTY = new byte[0];
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
     /** Creates an encoder. */
-    public LineEncoder() {}
+    public JsonLineEncoder() {}
 
     @Override
     public byte[] headerBytes() {
-        return NOTHING;
+        return EMPTY;
     }
 
     @Override
     public byte[] footerBytes() {
-        return NOTHING;
+        return EMPTY;
     }
 
     @Override
     public byte[] encode(ILoggingEvent e) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(USUAL_BYTES);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator g = JSON.createGenerator(out)) {
             g.writeStartObject();
             g.writeNumberField("time_ms", e.getTimeStamp());
@@ -49,7 +49,7 @@
             g.writeEndObject();
         } catch (IOException x) {
             addError("log line not written", x);
-            return NOTHING;
+            return EMPTY;
         }
         out.write('\n');
         return out.toByteArray();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/log/LogSetup.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/log/LogSetup.java
@@ -23,15 +23,15 @@
     @Override
     public ExecutionStatus configure(LoggerContext context) {
         // With a listener of its own the library does not load its printer of statuses.
-        context.getStatusManager().add(new StatusToStderr());
-        LineEncoder encoder = new LineEncoder();
+        context.getStatusManager().add(new StderrStatusListener());
+        JsonLineEncoder encoder = new JsonLineEncoder();
         encoder.setContext(context);
         encoder.start();
         ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
         console.setContext(context);
         console.setEncoder(encoder);
         console.start();
-        CountingAppender queue = CountingAppender.to(console);
+        BoundedAsyncAppender queue = BoundedAsyncAppender.to(console);
         queue.setContext(context);
         queue.start();
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/log/StatusToStderr.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/log/StderrStatusListener.java
@@ -4,7 +4,7 @@
 import ch.qos.logback.core.status.StatusListener;
 
 /** Writes what goes wrong within logging itself to standard error. Thread-safe. */
-final class StatusToStderr implements StatusListener {
+final class StderrStatusListener implements StatusListener {
     @Override
     public void addStatusEvent(Status s) {
         if (s.getEffectiveLevel() >= Status.WARN) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/FleetSource.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/FleetSource.java
@@ -17,7 +17,7 @@
  */
 public interface FleetSource {
     /** Reads the newest configuration, if there is one, and which domains are evacuated. */
-    CompletableFuture<Versioned<OperatorState>> readOperators();
+    CompletableFuture<Versioned<OperatorState>> readOperatorState();
 
     /**
      * Waits for a change by operators that is newer than a position; an answer of another era may
@@ -26,12 +26,12 @@
      * @param since position of the last read
      * @param waitMillis longest time to wait; then the result holds no change
      */
-    CompletableFuture<Versioned<OperatorState>> awaitOperators(
+    CompletableFuture<Versioned<OperatorState>> awaitOperatorState(
             StorePosition since, long waitMillis);
 
     /** Reads the list of targets. */
     CompletableFuture<Versioned<List<TargetEntry>>> readTargets();
 
     /** Returns how many entries of the last list named no target to use, by what was wrong. */
-    Map<String, Long> unusableEntries();
+    Map<String, Long> invalidEntries();
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/Handover.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/ForwardingInfo.java
@@ -13,10 +13,10 @@
  * @param copyFrom address of a target from which the prompt is to be copied, IP:PORT
  * @since 0.2
  */
-public record Handover(
+public record ForwardingInfo(
         String targetId,
-        long waitMillis,
+        long remainingMillis,
         Optional<String> team,
         int priority,
         Optional<String> lastEventId,
-        Optional<String> copyFrom) {}
+        Optional<String> copySource) {}
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/CallerProtocol.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/HeaderCodec.java
@@ -9,22 +9,22 @@
  *
  * @since 0.2
  */
-public interface CallerProtocol {
+public interface HeaderCodec {
     /** Decodes the head of a caller's request. */
-    CallerHead decode(HttpRequest request);
+    RequestHead decode(HttpRequest request);
 
     /** Decodes the head of a target's answer. */
-    AnswerHead decode(HttpResponse response);
+    ResponseHead decode(HttpResponse response);
 
     /** Returns whether a field reaches the other end whatever a connection option says of it. */
     boolean isEndToEnd(String name);
 
     /** Removes every field that only routers set toward targets, then sets what this one adds. */
-    void handOver(HttpHeaders headers, Handover handover);
+    void encodeForwarding(HttpHeaders headers, ForwardingInfo handover);
 
     /** Names the request in an answer of the router's own. */
-    void nameRequest(HttpHeaders headers, String requestId);
+    void setRequestId(HttpHeaders headers, String requestId);
 
     /** Tells the caller when to come back. */
-    void retryAfter(HttpHeaders headers, long millis);
+    void setRetryAfter(HttpHeaders headers, long millis);
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/OperatorState.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/OperatorState.java
@@ -14,4 +14,4 @@
  * @since 0.5
  */
 public record OperatorState(
-        Optional<TrafficConfig> config, Set<String> evacuated, Set<String> returned) {}
+        Optional<TrafficConfig> config, Set<String> evacuated, Set<String> restored) {}
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/CallerHead.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/RequestHead.java
@@ -16,9 +16,9 @@
  * @param malformed name of a field that cannot be read, if there is one
  * @since 0.2
  */
-public record CallerHead(
+public record RequestHead(
         Optional<String> requestId,
-        OptionalLong waitMillis,
+        OptionalLong timeoutMillis,
         Optional<String> key,
         Optional<Prompt> prompt,
         Optional<String> lastEventId,
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/AnswerHead.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/ResponseHead.java
@@ -17,10 +17,10 @@
  * @param word what the target says of whether it wants further requests
  * @since 0.2
  */
-public record AnswerHead(
+public record ResponseHead(
         Optional<String> requestId,
         boolean notRun,
         boolean wrongTarget,
         OptionalInt load,
-        OptionalLong keepMillis,
+        OptionalLong keepAliveMillis,
         TargetWord word) {}
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/SharedRow.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/SharedRow.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns a row of the same content that stands elsewhere in the history. */
-    public SharedRow at(StorePosition other) {
+    public SharedRow withPosition(StorePosition other) {
         return new SharedRow(key, value, other);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/SharedRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/SharedRowStore.java
@@ -11,7 +11,7 @@
  *
  * @since 0.2
  */
-public interface SharedRows {
+public interface SharedRowStore {
     /** Reads all rows. */
     CompletableFuture<Versioned<List<SharedRow>>> readAll();
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/SourceException.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/SourceException.java
@@ -7,11 +7,11 @@
 public final class SourceException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    private final boolean mHistoryGone;
+    private final boolean mHistoryCompacted;
 
     private SourceException(String what, boolean historyGone) {
         super(what);
-        mHistoryGone = historyGone;
+        mHistoryCompacted = historyGone;
     }
 
     /** Creates the report of a failure. */
@@ -20,7 +20,7 @@
     }
 
     /** Creates the report that changes since a revision are not kept any more. */
-    public static SourceException historyGone() {
+    public static SourceException historyCompacted() {
         return new SourceException("history is gone", true);
     }
 
@@ -29,8 +29,8 @@
      *
      * @param failure of a call, alone or as the cause that a future wraps
      */
-    public static boolean isHistoryGone(Throwable failure) {
+    public static boolean isHistoryCompacted(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        return cause instanceof SourceException s && s.mHistoryGone;
+        return cause instanceof SourceException s && s.mHistoryCompacted;
     }
 }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/ScriptedServer.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/ScriptedServer.java
@@ -19,7 +19,7 @@
     /** Answers one request of a connection. */
     public interface Script {
         /** Writes whatever it likes; returns whether the connection goes on. */
-        boolean answer(Request request, Wire wire) throws IOException, InterruptedException;
+        boolean answer(Request request, Connection wire) throws IOException, InterruptedException;
     }
 
     /** Holds a request that came. */
@@ -41,10 +41,10 @@
     }
 
     /** Is the connection as a script sees it. */
-    public static final class Wire {
+    public static final class Connection {
         private final Socket mSocket;
 
-        Wire(Socket socket) {
+        Connection(Socket socket) {
             mSocket = socket;
         }
 
@@ -77,8 +77,8 @@
     private final ServerSocket mListener = new ServerSocket();
     private final Script mScript;
     private final Thread mAcceptor;
-    private final AtomicInteger mRequests = new AtomicInteger();
-    private final List<Request> mSeen = new CopyOnWriteArrayList<>();
+    private final AtomicInteger mRequestCount = new AtomicInteger();
+    private final List<Request> mReceived = new CopyOnWriteArrayList<>();
     private final List<Socket> mOpen = new CopyOnWriteArrayList<>();
 
     private ScriptedServer(Script script) throws IOException {
@@ -110,8 +110,8 @@
     }
 
     /** Returns the requests that came, in order. */
-    public List<Request> seen() {
-        return mSeen;
+    public List<Request> requests() {
+        return mReceived;
     }
 
     private void accept() {
@@ -130,10 +130,10 @@
 
     private void serve(Socket s) {
         try (s) {
-            Wire wire = new Wire(s);
+            Connection wire = new Connection(s);
             while (true) {
                 Request r = read(s.getInputStream());
-                mSeen.add(r);
+                mReceived.add(r);
                 if (!mScript.answer(r, wire)) {
                     return;
                 }
@@ -158,7 +158,7 @@
         String length = r.header("Content-Length");
         byte[] body = in.readNBytes(length.isEmpty() ? 0 : Integer.parseInt(length));
         String text = new String(body, StandardCharsets.UTF_8);
-        return new Request(mRequests.incrementAndGet(), head.toString(), text);
+        return new Request(mRequestCount.incrementAndGet(), head.toString(), text);
     }
 
     @Override
--- a/forkseam-direct/src/test/java/org/forkseam/direct/flow/ArrivalsTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/flow/ArrivalTrackerTest.java
@@ -12,16 +12,16 @@
 import java.util.List;
 
 /** Tests what is believed of the time at which requests came. */
-class ArrivalsTest {
+class ArrivalTrackerTest {
     private long mNow = 1_000;
-    private final Arrivals mArrivals = new Arrivals(() -> mNow, 1_000);
+    private final ArrivalTracker mArrivals = new ArrivalTracker(() -> mNow, 1_000);
 
     @Test
     void aRouterThatKeepsUpTakesWhatItReadsForNew() {
         mNow += 50;
         Arrival a = mArrivals.next();
         assertThat(a.millis()).isEqualTo(1_050);
-        assertThat(a.isLate()).isFalse();
+        assertThat(a.wasDelayed()).isFalse();
     }
 
     @Test
@@ -29,7 +29,7 @@
         mNow += 800;
         Arrival first = mArrivals.next();
         Arrival second = mArrivals.next();
-        assertThat(first.isLate()).isTrue();
+        assertThat(first.wasDelayed()).isTrue();
         assertThat(first.millis()).isEqualTo(1_200);
         assertThat(second.millis()).isEqualTo(1_600);
     }
@@ -38,9 +38,9 @@
     void aTurnThatReadEverythingEndsTheGap() {
         mNow += 800;
         mArrivals.next();
-        mArrivals.onTurn();
+        mArrivals.onReadsDrained();
         mNow += 10;
-        assertThat(mArrivals.next().isLate()).isFalse();
+        assertThat(mArrivals.next().wasDelayed()).isFalse();
     }
 
     /** Whatever the gap: arrivals lie within it, in the order of reading. */
@@ -49,7 +49,7 @@
             @ForAll @IntRange(min = 101, max = 60_000) int gap,
             @ForAll @IntRange(min = 1, max = 300) int count) {
         long[] now = {0};
-        Arrivals arrivals = new Arrivals(() -> now[0], 0);
+        ArrivalTracker arrivals = new ArrivalTracker(() -> now[0], 0);
         now[0] = gap;
         List<Arrival> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/forkseam-direct/src/test/java/org/forkseam/direct/flow/IntakeTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/flow/RequestQueueTest.java
@@ -10,24 +10,24 @@
 import java.util.List;
 
 /** Tests when requests are begun, on a loop and a clock that the tests turn. */
-class IntakeTest {
+class RequestQueueTest {
     private long mNow = 10_000;
     private final Deque<Runnable> mThisTurn = new ArrayDeque<>();
     private final Deque<Runnable> mNextTurn = new ArrayDeque<>();
     private final List<String> mBegun = new ArrayList<>();
-    private final Arrivals mArrivals = new Arrivals(() -> mNow, 10_000);
-    private final Intake mIntake =
-            new Intake(
+    private final ArrivalTracker mArrivals = new ArrivalTracker(() -> mNow, 10_000);
+    private final RequestQueue mIntake =
+            new RequestQueue(
                     () -> mNow,
                     mArrivals,
-                    new Intake.Turns() {
+                    new RequestQueue.LoopScheduler() {
                         @Override
-                        public void inThisTurn(Runnable task) {
+                        public void runThisIteration(Runnable task) {
                             mThisTurn.add(task);
                         }
 
                         @Override
-                        public void inNextTurn(Runnable task) {
+                        public void runNextIteration(Runnable task) {
                             mNextTurn.add(task);
                         }
                     });
@@ -36,7 +36,7 @@
     private boolean mKnows = true;
 
     /** Is a request that writes down when it is begun. */
-    private final class Request implements Intake.Item {
+    private final class Request implements RequestQueue.QueuedRequest {
         private final String mName;
         private final Arrival mArrival;
         private boolean mDone;
@@ -52,8 +52,8 @@
         }
 
         @Override
-        public Intake.Readiness prepare() {
-            return mKnows ? Intake.Readiness.READY : Intake.Readiness.NOT_YET;
+        public RequestQueue.Readiness prepare() {
+            return mKnows ? RequestQueue.Readiness.READY : RequestQueue.Readiness.NOT_YET;
         }
 
         @Override
@@ -62,7 +62,7 @@
         }
 
         @Override
-        public void begin() {
+        public void dispatch() {
             mBegun.add(mName);
             mNow += mBeginCosts;
         }
@@ -70,7 +70,7 @@
 
     private Request read(String name) {
         Request r = new Request(name);
-        mIntake.add(r);
+        mIntake.enqueue(r);
         return r;
     }
 
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/ChunksTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/ChunkEncoderTest.java
@@ -19,7 +19,7 @@
 import java.util.List;
 
 /** Tests chunks by the library that reads them. */
-class ChunksTest {
+class ChunkEncoderTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     /** Whatever the parts: the library's decoder reads the same bytes, and an end. */
@@ -32,7 +32,7 @@
         ByteArrayOutputStream sent = new ByteArrayOutputStream();
         for (byte[] p : parts) {
             sent.write(p);
-            channel.writeInbound(Chunks.of(channel.alloc(), Unpooled.copiedBuffer(p)));
+            channel.writeInbound(ChunkEncoder.encode(channel.alloc(), Unpooled.copiedBuffer(p)));
         }
         channel.writeInbound(Unpooled.copiedBuffer("0\r\n\r\n", StandardCharsets.US_ASCII));
         ByteArrayOutputStream read = new ByteArrayOutputStream();
@@ -50,7 +50,7 @@
     @org.junit.jupiter.api.Test
     void thePartIsReleased() {
         ByteBuf part = Unpooled.copiedBuffer("x", StandardCharsets.US_ASCII);
-        Chunks.of(Buffers.allocator(), part).release();
+        ChunkEncoder.encode(Buffers.allocator(), part).release();
         assertThat(part.refCnt()).isEqualTo(0);
     }
 }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/EarlyListenerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/EarlyServerSocketTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Tests that callers are not refused while a router is still loading. */
-class EarlyListenerTest {
+class EarlyServerSocketTest {
     private static final int TIMEOUT_MILLIS = 5_000;
 
     private final MultiThreadIoEventLoopGroup mGroup =
@@ -47,7 +47,7 @@
 
     @Test
     void connectionsThatCameBeforeAreServed() throws Exception {
-        EarlyListener listener = EarlyListener.open(new InetSocketAddress("127.0.0.1", 0));
+        EarlyServerSocket listener = EarlyServerSocket.open(new InetSocketAddress("127.0.0.1", 0));
         try (Socket before = connect(listener)) {
             before.getOutputStream().write('a');
             Channel serving = listener.serve(mGroup, new Echo()).get(5, TimeUnit.SECONDS);
@@ -62,7 +62,7 @@
 
     @Test
     void closingTheChannelRefusesCallers() throws Exception {
-        EarlyListener listener = EarlyListener.open(new InetSocketAddress("127.0.0.1", 0));
+        EarlyServerSocket listener = EarlyServerSocket.open(new InetSocketAddress("127.0.0.1", 0));
         listener.serve(mGroup, new Echo()).get(5, TimeUnit.SECONDS).close().sync();
         boolean refused = false;
         try (Socket s = connect(listener)) {
@@ -73,7 +73,7 @@
         assertThat(refused).isTrue();
     }
 
-    private static Socket connect(EarlyListener listener) throws IOException {
+    private static Socket connect(EarlyServerSocket listener) throws IOException {
         Socket s = new Socket();
         s.connect(listener.address(), TIMEOUT_MILLIS);
         s.setSoTimeout(TIMEOUT_MILLIS);
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/EventSplitterTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/EventSplitterTest.java
@@ -24,7 +24,7 @@
 
     private static ByteBuf take(EventSplitter s, String text) {
         s.add(bytes(text));
-        return s.takeWhole();
+        return s.takeCompleteEvents();
     }
 
     private static String text(ByteBuf b) {
@@ -53,8 +53,8 @@
         }
         passed.append(text(take(s, stream.substring(at))));
         assertThat(passed.toString()).isEqualTo(all.toString());
-        assertThat(s.isHolding()).isTrue();
-        assertThat(s.lastId()).isEqualTo(Optional.of("" + events));
+        assertThat(s.hasPartialEvent()).isTrue();
+        assertThat(s.lastEventId()).isEqualTo(Optional.of("" + events));
     }
 
     @Test
@@ -62,14 +62,14 @@
         EventSplitter s = EventSplitter.create();
         s.add(bytes("id: 1\ndata: a\n\n"));
         s.add(bytes("id: 2\ndata: b\n\nid: 3\n"));
-        assertThat(text(s.takeWhole())).isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-        assertThat(s.takeWhole().isReadable()).isFalse();
-        assertThat(s.lastId()).isEqualTo(Optional.of("2"));
-        assertThat(s.isHolding()).isTrue();
+        assertThat(text(s.takeCompleteEvents())).isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+        assertThat(s.takeCompleteEvents().isReadable()).isFalse();
+        assertThat(s.lastEventId()).isEqualTo(Optional.of("2"));
+        assertThat(s.hasPartialEvent()).isTrue();
     }
 
     @Test
     void aStreamThatHasNotBegunHasNoId() {
-        assertThat(EventSplitter.create().lastId()).isEqualTo(Optional.empty());
+        assertThat(EventSplitter.create().lastEventId()).isEqualTo(Optional.empty());
     }
 }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/HttpConnectionTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/HttpConnectionTest.java
@@ -75,7 +75,7 @@
     }
 
     /** Records how an exchange ended. */
-    private static class Recorder implements ConnectionUser, AnswerListener {
+    private static class Recorder implements ConnectionCallback, ResponseListener {
         private final StringBuilder mBody = new StringBuilder();
         private final CompletableFuture<String> mEnd = new CompletableFuture<>();
         private HttpConnection mConnection;
@@ -95,7 +95,7 @@
         }
 
         @Override
-        public void onNone(BreakKind kind, String detail) {
+        public void onConnectionFailed(ExchangeFailure kind, String detail) {
             mEnd.complete(kind + " ");
         }
 
@@ -108,12 +108,12 @@
         }
 
         @Override
-        public void onEnd() {
+        public void onComplete() {
             mEnd.complete("END " + mBody);
         }
 
         @Override
-        public void onBroken(BreakKind kind, String detail) {
+        public void onExchangeFailed(ExchangeFailure kind, String detail) {
             mEnd.complete(kind + " " + mBody);
         }
     }
@@ -176,7 +176,7 @@
             pool.setLimit(0);
             assertThat(exchange(pool)).startsWith("NO_CONNECTION_FREE");
             Recorder r = new Recorder();
-            LOOP.execute(() -> pool.replace(r));
+            LOOP.execute(() -> pool.openReplacement(r));
             s.close();
             assertThat(r.mEnd.get(WAIT_SECONDS, TimeUnit.SECONDS)).doesNotContain("NO_CONNECTION");
         }
@@ -202,7 +202,7 @@
             ConnectionPool pool = pool(s.address());
             assertThat(exchange(pool)).isEqualTo("END 1");
             assertThat(exchange(pool)).isEqualTo("END 2");
-            assertThat(pool.open()).isEqualTo(1);
+            assertThat(pool.openCount()).isEqualTo(1);
         }
     }
 
@@ -221,13 +221,13 @@
                         @Override
                         public void onBody(ByteBuf bytes) {
                             super.onBody(bytes);
-                            connection().setReading(false);
+                            connection().setAutoRead(false);
                         }
                     };
             LOOP.execute(() -> pool.acquire(60_000, slow));
             assertThat(slow.mEnd.get(WAIT_SECONDS, TimeUnit.SECONDS)).isEqualTo("END 1");
             assertThat(exchange(pool)).isEqualTo("END 2");
-            assertThat(pool.open()).isEqualTo(1);
+            assertThat(pool.openCount()).isEqualTo(1);
         }
     }
 
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
@@ -12,7 +12,7 @@
 import org.forkseam.core.util.Hashes;
 import org.forkseam.direct.know.Quarantine.Verdict;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRows;
+import org.forkseam.direct.spi.SharedRowStore;
 import org.forkseam.direct.spi.SourceException;
 import org.forkseam.direct.spi.Versioned;
 import org.junit.jupiter.api.AfterEach;
@@ -44,7 +44,7 @@
     private static final long STORE_AHEAD = 7_000_000;
 
     /** Is a store that several routers share. */
-    private static final class Rows implements SharedRows {
+    private static final class Rows implements SharedRowStore {
         private final Map<String, SharedRow> mAll = new ConcurrentSkipListMap<>();
         private final AtomicLong mRevision = new AtomicLong(1);
         private volatile boolean mAway;
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
@@ -9,7 +9,7 @@
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRows;
+import org.forkseam.direct.spi.SharedRowStore;
 import org.forkseam.direct.spi.SourceException;
 import org.forkseam.direct.spi.Versioned;
 import org.junit.jupiter.api.AfterEach;
@@ -34,7 +34,7 @@
     private static final InetSocketAddress OTHER = new InetSocketAddress("127.0.0.1", 6_000);
 
     /** Is a store whose waits never end, and whose history is gone for whoever asks. */
-    private static final class Rows implements SharedRows {
+    private static final class Rows implements SharedRowStore {
         private final List<SharedRow> mAll = new CopyOnWriteArrayList<>();
         private volatile int mWaits;
         private volatile int mReads;
@@ -50,7 +50,7 @@
         public CompletableFuture<Versioned<List<SharedRow>>> awaitChanges(
                 StorePosition since, long waitMillis) {
             if (waitMillis == 0) {
-                return CompletableFuture.failedFuture(SourceException.historyGone());
+                return CompletableFuture.failedFuture(SourceException.historyCompacted());
             }
             mWaits++;
             return new CompletableFuture<>();
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/RowTableTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/RowTableTest.java
@@ -155,7 +155,7 @@
             List<SharedRow> read = new ArrayList<>();
             for (SharedRow r : copy.values()) {
                 if (r.exists()) {
-                    read.add(r.at(StorePosition.of(era + 1, r.position().revision())));
+                    read.add(r.withPosition(StorePosition.of(era + 1, r.position().revision())));
                 }
             }
             Collections.shuffle(read, random);
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
@@ -74,18 +74,18 @@
         }
 
         @Override
-        public CompletableFuture<Versioned<OperatorState>> readOperators() {
+        public CompletableFuture<Versioned<OperatorState>> readOperatorState() {
             return new CompletableFuture<>();
         }
 
         @Override
-        public CompletableFuture<Versioned<OperatorState>> awaitOperators(
+        public CompletableFuture<Versioned<OperatorState>> awaitOperatorState(
                 StorePosition since, long wait) {
             return new CompletableFuture<>();
         }
 
         @Override
-        public Map<String, Long> unusableEntries() {
+        public Map<String, Long> invalidEntries() {
             return Map.of();
         }
     }
