--- a/forkseam-direct/src/test/java/org/forkseam/direct/log/CountingAppenderTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/log/BoundedAsyncAppenderTest.java
@@ -18,7 +18,7 @@
 import ch.qos.logback.core.AppenderBase;
 
 /** Tests that logging neither blocks nor loses lines without counting them. */
-class CountingAppenderTest {
+class BoundedAsyncAppenderTest {
     private static final int MORE_THAN_THE_QUEUE = 1_500;
     private static final long WAIT_SECONDS = 5;
 
@@ -55,14 +55,14 @@
         SlowOutput out = new SlowOutput();
         out.setContext(mContext);
         out.start();
-        CountingAppender queue = CountingAppender.to(out);
+        BoundedAsyncAppender queue = BoundedAsyncAppender.to(out);
         queue.setContext(mContext);
         queue.start();
-        long before = CountingAppender.dropped();
+        long before = BoundedAsyncAppender.dropped();
         for (int i = 0; i < MORE_THAN_THE_QUEUE; i++) {
             queue.doAppend(line(i));
         }
-        long dropped = CountingAppender.dropped() - before;
+        long dropped = BoundedAsyncAppender.dropped() - before;
         assertThat(dropped).isAtLeast(1L);
         out.mLet.countDown();
         queue.stop();
