--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Admission.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Admission.java
@@ -8,42 +8,42 @@
 import java.util.OptionalInt;
 
 /**
- * Holds what the configuration in force says of a request that it lets pass. Immutable.
+ * Routing decision and limits for an admitted request, taken from the active configuration.
+ * Immutable.
  *
- * @param config the configuration
- * @param route the request's route
- * @param team the caller's team, if it brought a key
+ * @param config the active configuration
+ * @param route the matched route
+ * @param team the caller's team, if the request carried a known key
  * @param pool the pool that serves the request
- * @param deadlineMillis when the final answer goes out at the latest, by the router's clock
+ * @param deadlineMillis the latest time for the final response, by the router's clock
  */
 record Admission(
         TrafficConfig config, Route route, Optional<Team> team, String pool, long deadlineMillis) {
-    /** The final answer goes out so long before the caller stops waiting. */
+    /** Time reserved for sending the final response before the caller's timeout. */
     private static final long RESPONSE_MARGIN_MILLIS = 60;
 
     /**
-     * Share of its objective that a request must have left to be sent: with less, an answer hardly
-     * comes before the caller gives up, and the target works in vain. Origin: the operators, who do
-     * not count such an attempt as one; what it saves was not measured.
+     * Minimum share of the route's latency objective that must remain for an attempt to start.
+     * Below this, a response is unlikely to arrive in time.
      */
     private static final double MIN_REMAINING_SHARE = 0.1;
 
     /**
-     * Share of its objective within which a request waits for a target that has asked for a while
-     * without requests, where no other is left: as much is left for the answer. In the model of a
-     * small pool that asks for 60 ms to 3 s, or is full in a burst, up to 5 of 100 requests more
-     * are in time than if all are refused at once, and at most 1 of 100 fewer; waiting up to the
-     * deadline costs a burst two thirds of those in time.
+     * Share of the route's latency objective that a request may wait for a target that is holding
+     * off requests. The rest is left for the response.
      */
     private static final double MAX_WAIT_SHARE = 0.5;
 
-    /** Kept connections that were idle for longer are not used for what can be repeated. */
+    /** Maximum idle time of a pooled connection for retryable requests. */
     private static final long MAX_IDLE_MILLIS = 5_000;
 
-    /** A kept connection may have been forgotten: what cannot be repeated avoids old ones. */
+    /**
+     * Lower limit for requests that cannot be retried: an old connection may have been closed by
+     * the peer.
+     */
     private static final long MAX_IDLE_NON_RETRYABLE_MILLIS = 2_000;
 
-    /** Creates what a configuration says of a request that has passed its checks. */
+    /** Creates the admission of a request that passed the {@link AdmissionCheck}. */
     static Admission of(TrafficConfig config, AdmissionCheck.Admitted p, CallerRequest r) {
         long wait = r.head().timeoutMillis().orElse(Long.MAX_VALUE);
         long held = Math.min(wait, p.route().timeoutMillis());
@@ -51,32 +51,35 @@
         return new Admission(config, p.route(), p.team(), p.route().pool(r.id()), deadline);
     }
 
-    /** Returns the milliseconds left until the final answer is due, at least 1. */
+    /** Returns the time left until the deadline, at least 1 ms. */
     long remainingMillis(long nowMillis) {
         return Math.max(1, deadlineMillis - nowMillis);
     }
 
-    /** Returns whether the final answer is due. */
+    /** Returns whether the deadline has passed. */
     boolean isExpired(long nowMillis) {
         return nowMillis >= deadlineMillis;
     }
 
-    /** Returns whether there is time left for an answer of a target. */
+    /** Returns whether enough time is left for another attempt. */
     boolean hasTimeForAttempt(long nowMillis) {
         return deadlineMillis - nowMillis >= MIN_REMAINING_SHARE * route.latencyMillis();
     }
 
-    /** Returns whether a request received at one moment may wait until another for a target. */
+    /**
+     * Returns whether a request that arrived at {@code receivedMillis} may wait for a target until
+     * {@code untilMillis}.
+     */
     boolean mayWait(long receivedMillis, long untilMillis) {
         return untilMillis - receivedMillis <= MAX_WAIT_SHARE * route.latencyMillis();
     }
 
-    /** Returns the request's rank; 0 is the most urgent. */
+    /** Returns the request's priority; 0 is the most urgent. */
     int priority() {
         return team.map(Team::priority).orElse(OptionalInt.empty()).orElse(route.priority());
     }
 
-    /** Returns for how long a kept connection may have been idle that carries the request. */
+    /** Returns the maximum idle time of a pooled connection that may carry the request. */
     long maxIdleMillis() {
         return route.kind().isRepeatable() ? MAX_IDLE_MILLIS : MAX_IDLE_NON_RETRYABLE_MILLIS;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AdmissionCheck.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AdmissionCheck.java
@@ -9,26 +9,26 @@
 
 import java.util.Optional;
 
-/** Decides by the configuration whether a request may pass at all. Pure. */
+/** Checks a request against the configuration. Stateless. */
 final class AdmissionCheck {
     private AdmissionCheck() {}
 
-    /** Is what the configuration says of a request. */
+    /** Result of the check. */
     sealed interface Decision {}
 
     /**
-     * Lets a request pass.
+     * The request is admitted.
      *
-     * @param route its route
-     * @param team the team of its caller, if it brought a key
+     * @param route the matched route
+     * @param team the caller's team, if the request carried a known key
      */
     record Admitted(Route route, Optional<Team> team) implements Decision {}
 
     /**
-     * Turns a request away.
+     * The request is rejected.
      *
-     * @param status the answer's status
-     * @param why the reason
+     * @param status the response status
+     * @param reason the reason sent to the caller
      */
     record Rejected(HttpResponseStatus status, String reason) implements Decision {}
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Arrival.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Arrival.java
@@ -1,11 +1,11 @@
 package org.forkseam.direct.flow;
 
 /**
- * Says when a request reached this host, as far as is known. Used on the event loop.
+ * Arrival time of a request at this host. Used on the event loop.
  *
- * <p>What is read by a router that keeps up has come just now. What is read by one that was held up
- * came somewhere in the time that it did not look: such arrivals are spread evenly over that time
- * in the order in which they are read, which is the order in which they came.
+ * <p>Normally this is the time when the request was read. Requests read after an event loop stall
+ * arrived at unknown times during the stall; their times are estimated by spreading them evenly
+ * over it in read order.
  */
 final class Arrival {
     private final ReadStall mStall;
@@ -18,22 +18,25 @@
         mMillis = millis;
     }
 
-    /** Creates the arrival of something that has come just now. */
+    /** Creates an arrival at a known time. */
     static Arrival at(long millis) {
         return new Arrival(null, 0, millis);
     }
 
-    /** Returns when it came, in the clock's milliseconds; an estimate if it has waited unread. */
+    /** Returns the arrival time in the clock's milliseconds; an estimate after a stall. */
     long millis() {
         return mStall == null ? mMillis : mStall.millis(mIndex);
     }
 
-    /** Returns whether it has waited unread, so that its sender may have left meanwhile. */
+    /**
+     * Returns whether the request waited unread during a stall, so that its caller may have
+     * disconnected.
+     */
     boolean wasDelayed() {
         return mStall != null;
     }
 
-    /** Is a time in which the router read nothing. */
+    /** A period in which the router read nothing. */
     static final class ReadStall {
         private final long mFrom;
         private final long mTo;
@@ -44,7 +47,7 @@
             mTo = to;
         }
 
-        /** Creates the next arrival of those that came in this time. */
+        /** Adds an arrival to this stall. */
         Arrival nextArrival() {
             return new Arrival(this, mCount++, mTo);
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/ArrivalTracker.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/ArrivalTracker.java
@@ -3,14 +3,14 @@
 import org.forkseam.core.util.Clock;
 
 /**
- * Notes when requests come, and notices turns of the event loop that come late: after a start, a
- * freeze, or on a host that cannot keep up. Used on the event loop.
+ * Determines arrival times and detects event loop stalls: a late loop iteration after a start, a
+ * process freeze or on an overloaded host. Used on the event loop.
  */
 final class ArrivalTracker {
-    /** The loop turns at least so often, since its ticks are no rarer. */
+    /** Longest regular interval between loop iterations, given by the tick period. */
     static final long ITERATION_MILLIS = 40;
 
-    /** A turn that comes so much later than usual finds what has waited. Unit: milliseconds. */
+    /** Delay beyond the regular interval that counts as a stall. */
     private static final long STALL_TOLERANCE_MILLIS = 60;
 
     private final Clock mClock;
@@ -18,16 +18,16 @@
     private long mLastIteration;
 
     /**
-     * Creates the notes.
+     * Creates a tracker.
      *
-     * @param openedMillis since when callers can connect
+     * @param openedMillis the time since which callers can connect
      */
     ArrivalTracker(Clock clock, long openedMillis) {
         mClock = clock;
         mLastIteration = openedMillis;
     }
 
-    /** Notes that something is being read, and returns when it came. */
+    /** Returns the arrival of the request or connection being read. */
     Arrival next() {
         long now = mClock.nowMillis();
         if (mStall == null && now - mLastIteration > ITERATION_MILLIS + STALL_TOLERANCE_MILLIS) {
@@ -36,7 +36,7 @@
         return mStall == null ? Arrival.at(now) : mStall.nextArrival();
     }
 
-    /** Notes that the loop has read everything that was there. */
+    /** Ends the current stall after all pending input has been read. */
     void onReadsDrained() {
         mLastIteration = mClock.nowMillis();
         mStall = null;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
@@ -18,19 +18,19 @@
 import java.util.function.Supplier;
 
 /**
- * Carries a request to one target and brings what comes back. Used on the event loop.
+ * Sends a request to one target and receives the response. Used on the event loop.
  *
- * <p>An answer with a success on a streaming route is passed on event by event; any other is kept
- * until it is whole, so that a broken one can be replaced.
+ * <p>Successful responses on streaming routes are forwarded event by event. All other responses are
+ * buffered until complete, so that a failed one can be replaced by a retry.
  */
 final class Attempt implements ConnectionCallback, ResponseListener {
-    /** An answer larger than this is taken for a fault of the target. */
+    /** Larger response bodies count as malformed. */
     private static final int MAX_BODY_BYTES = 16 << 20;
 
     /**
-     * A connection that brings nothing for so long may have been cut off without a word. The others
-     * to its target that are idle are opened anew then, at some 1 ms each; one that was cut off
-     * costs a request its whole time.
+     * If an attempt is cancelled without any response for this long, the network may have silently
+     * dropped the connection. Idle connections to the same target are then closed, since they may
+     * be affected too.
      */
     private static final long SILENT_CONNECTION_MILLIS = 400;
 
@@ -68,13 +68,13 @@
         mStarted = context.now();
     }
 
-    /** Begins: a connection, then the request. */
+    /** Acquires a connection and sends the request. */
     void start(long maxIdleMillis) {
         mTarget.onSent(mStarted);
         mContext.targetConnections().pool(mTarget).acquire(maxIdleMillis, this);
     }
 
-    /** Ends the attempt: the target sees its connection close. Nothing is told any more. */
+    /** Cancels the attempt and closes its connection. The listener is not called any more. */
     void cancel() {
         if (mEnded) {
             return;
@@ -113,12 +113,12 @@
         return mSplitter;
     }
 
-    /** Returns for how long the target has sent nothing for this request. */
+    /** Returns how long the target has sent nothing for this request. */
     long silentMillis(long now) {
         return isSent() ? now - Math.max(mSentAt, mLastReceivedAt) : 0;
     }
 
-    /** Returns for how long the target has been bringing its answer. */
+    /** Returns the time since the response head arrived, or 0 before it. */
     long respondingMillis(long now) {
         return mHeadAt == 0 ? 0 : now - mHeadAt;
     }
@@ -127,9 +127,9 @@
         return now - mStarted;
     }
 
-    void setAutoRead(boolean reading) {
+    void setAutoRead(boolean autoRead) {
         if (mConnection != null && !mEnded) {
-            mConnection.setAutoRead(reading);
+            mConnection.setAutoRead(autoRead);
         }
     }
 
@@ -149,7 +149,10 @@
         }
     }
 
-    /** A turn of a loop that is behind takes long: the caller's close may have been read in it. */
+    /**
+     * Sends the request unless it is no longer needed: on an overloaded event loop, the caller may
+     * have disconnected since the connection was acquired.
+     */
     private void send() {
         if (mEnded) {
             return;
@@ -162,24 +165,28 @@
         }
         long now = mContext.now();
         if (!mConnection.isUsable()) {
-            endUnsent(AttemptResult.Kind.UNREACHABLE, "closed meanwhile");
+            endUnsent(
+                    AttemptResult.Kind.UNREACHABLE,
+                    "connection was closed before the request was sent");
             return;
         }
         if (!mTarget.takesWork(now)) {
-            endUnsent(AttemptResult.Kind.WITHDRAWN, "the target takes no work any more");
+            endUnsent(
+                    AttemptResult.Kind.WITHDRAWN,
+                    "target stopped accepting requests before the request was sent");
             return;
         }
         if (!mListener.maySend()) {
-            endUnsent(AttemptResult.Kind.WITHDRAWN, "the request may not be sent any more");
+            endUnsent(AttemptResult.Kind.WITHDRAWN, "request was quarantined before it was sent");
             return;
         }
         mSentAt = now;
         mConnection.send(mRequest.get(), this::matchesRequest, this);
     }
 
-    private void endUnsent(AttemptResult.Kind kind, String why) {
+    private void endUnsent(AttemptResult.Kind kind, String detail) {
         mConnection.release();
-        end(AttemptResult.of(kind, why));
+        end(AttemptResult.of(kind, detail));
     }
 
     @Override
@@ -188,18 +195,18 @@
     }
 
     /**
-     * Tells whether an answer is this request's: only refusals may come without an id. Asked of
-     * each head before it is brought, so that it is decoded once.
+     * Returns whether a response belongs to this request; only error responses may lack a request
+     * id. Called once per response head, before {@link #onHead}, and stores the decoded head.
      */
     private boolean matchesRequest(HttpResponse r) {
-        mDecodedHead = mContext.protocol().decode(r);
+        mDecodedHead = mContext.headerCodec().decode(r);
         if (mDecodedHead.requestId().isPresent()) {
             return mDecodedHead.requestId().get().equals(mRequestId);
         }
         return r.status().codeClass() != HttpStatusClass.SUCCESS;
     }
 
-    // ---------------------------------------------------------------- answer
+    // ---------------------------------------------------------------- response
 
     @Override
     public void onHead(HttpResponse head) {
@@ -213,9 +220,9 @@
                 .ifPresent(k -> mConnection.limitIdleMillis(k - idleMarginMillis(k)));
     }
 
-    /** An idle connection is given up somewhat before its server would close it. */
-    private static long idleMarginMillis(long keepMillis) {
-        return Math.min(500, keepMillis / 4);
+    /** Returns how long before the server's keep-alive timeout an idle connection is dropped. */
+    private static long idleMarginMillis(long keepAliveMillis) {
+        return Math.min(500, keepAliveMillis / 4);
     }
 
     private void onReceived() {
@@ -239,13 +246,15 @@
                         : Unpooled.copiedBuffer(bytes);
         if (mBody.readableBytes() > MAX_BODY_BYTES) {
             mConnection.abort();
-            end(AttemptResult.of(AttemptResult.Kind.MALFORMED, "body over " + MAX_BODY_BYTES));
+            end(
+                    AttemptResult.of(
+                            AttemptResult.Kind.MALFORMED,
+                            "response body exceeds byte limit " + MAX_BODY_BYTES));
         }
     }
 
     /**
-     * Passes on the events that have come together: on a busy router one write carries many, which
-     * saves most of what a stream costs.
+     * Forwards all complete events of one read in a single write, which reduces the cost per event.
      */
     @Override
     public void onReadComplete() {
@@ -265,7 +274,7 @@
         }
     }
 
-    /** Returns whether the target answered without having begun the request, as far as it tells. */
+    /** Returns whether the target rejected the request with 429. */
     boolean isRateLimited() {
         return mHead.status().code() == HttpResponseStatus.TOO_MANY_REQUESTS.code();
     }
@@ -282,7 +291,9 @@
             return;
         }
         if (mStream && isSuccess() && mSplitter.hasPartialEvent()) {
-            end(AttemptResult.of(AttemptResult.Kind.BROKEN, "ended within an event"));
+            end(
+                    AttemptResult.of(
+                            AttemptResult.Kind.BROKEN, "stream ended in the middle of an event"));
             return;
         }
         if (mStream && isSuccess() && !mStreamStarted) {
@@ -313,12 +324,12 @@
         end(AttemptResult.of(kind, detail));
     }
 
-    private void end(AttemptResult end) {
+    private void end(AttemptResult result) {
         if (mEnded) {
             return;
         }
         mEnded = true;
         mTarget.onEnded();
-        mListener.onAttemptEnded(this, end);
+        mListener.onAttemptEnded(this, result);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptListener.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptListener.java
@@ -2,20 +2,20 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Hears what becomes of an attempt. Called on the event loop. */
+/** Receives the progress and the result of an attempt. Called on the event loop. */
 interface AttemptListener {
-    /** Returns whether the request needs no target any more: it has ended, or its caller left. */
+    /** Returns whether the request has finished or its caller has disconnected. */
     boolean isDone();
 
-    /** Returns whether a target may get the request now. */
+    /** Returns whether the request may still be sent to a target. */
     boolean maySend();
 
-    /** Tells that an answer has begun which may be passed on as it comes. */
+    /** Called when a streamed response starts. */
     void onStreamStarted(Attempt attempt);
 
-    /** Tells of bytes of a stream, whole events only. */
+    /** Called with bytes of a stream, always complete events. */
     void onEvents(Attempt attempt, ByteBuf bytes);
 
-    /** Tells how the attempt ended; nothing follows. */
-    void onAttemptEnded(Attempt attempt, AttemptResult end);
+    /** Called once with the result; no other call follows. */
+    void onAttemptEnded(Attempt attempt, AttemptResult result);
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptResult.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptResult.java
@@ -5,33 +5,33 @@
 import org.forkseam.direct.io.ExchangeFailure;
 
 /**
- * Says how an attempt to have a request run at one target ended.
+ * Result of an attempt to run a request at one target. Immutable.
  *
- * @param kind what happened
- * @param detail more on it, for the logs
+ * @param kind the kind of result
+ * @param detail further information for logs
  */
 record AttemptResult(Kind kind, String detail) {
-    /** Says what happened, and whether the target may have run the request. */
+    /** Kind of result. The names are used as metric tag values and in logs. */
     enum Kind {
-        /** The whole answer is there, whatever its status. */
+        /** A complete response arrived, with any status that is not a failure. */
         ANSWERED(true),
-        /** No byte was sent: no connection came up. */
+        /** Nothing was sent: connecting failed. */
         UNREACHABLE(false),
-        /** No byte was sent: this router has its share of the target's connections in use. */
+        /** Nothing was sent: this router's connection limit for the target is reached. */
         NO_CONNECTION(false),
-        /** No byte was sent: what had been chosen was not to be done any more. */
+        /** Nothing was sent: the target or the request became ineligible before sending. */
         WITHDRAWN(false),
-        /** The target says that it has not run the request. */
+        /** The target reported that it did not run the request. */
         REFUSED(false),
-        /** Another target lives at the address; it has not run the request. */
+        /** A different target answered at the address and did not run the request. */
         WRONG_TARGET(false),
-        /** The target failed while it ran the request, and says so. */
+        /** The target responded with a server error. */
         FAILED(true),
-        /** The connection ended before the answer was whole. */
+        /** The connection closed before the response was complete. */
         BROKEN(true),
-        /** What came is no answer. */
+        /** The response was malformed. */
         MALFORMED(true),
-        /** The router gave the attempt up since the target was silent for too long. */
+        /** The router cancelled the attempt because the target was silent for too long. */
         GIVEN_UP(true);
 
         private final boolean mMayHaveRun;
@@ -45,12 +45,12 @@
             return mMayHaveRun;
         }
 
-        /** Returns whether no byte of the request was sent. */
+        /** Returns whether nothing of the request was sent. */
         boolean isUnsent() {
             return this == UNREACHABLE || this == NO_CONNECTION || this == WITHDRAWN;
         }
 
-        /** Returns whether it speaks against the target's health. */
+        /** Returns whether the result counts as a failure of the target. */
         boolean isFailure() {
             return this == UNREACHABLE
                     || this == FAILED
@@ -61,19 +61,19 @@
     }
 
     /**
-     * Notes on the target what this end says of it.
+     * Updates the health and error rate of the target from this result.
      *
-     * @param pool the share of all the pool's requests that fail
+     * @param poolRate error rate of the target's pool
      */
-    void recordOn(Target t, ErrorRate pool, long nowMillis) {
+    void recordOn(Target t, ErrorRate poolRate, long nowMillis) {
         if (kind == Kind.ANSWERED || kind == Kind.FAILED) {
             t.errors().note(kind == Kind.FAILED);
-            pool.note(kind == Kind.FAILED);
+            poolRate.note(kind == Kind.FAILED);
         }
         switch (kind) {
             case ANSWERED -> t.health().onSuccess(nowMillis);
             case FAILED -> {
-                if (t.errors().standsOutOf(pool)) {
+                if (t.errors().standsOutOf(poolRate)) {
                     t.health().onFailure(nowMillis);
                 }
             }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptTracker.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptTracker.java
@@ -5,19 +5,19 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Counts the attempts of one request, and decides whether it may be sent once more: only if the
- * last target has certainly not run it, or if it may be repeated; the route bounds the targets, and
- * the pool's budget all repeats. Used on the event loop.
+ * Counts the attempts of one request and decides whether another is allowed. A retry requires that
+ * no target can have run the request or that the route is retryable; it is limited by the route's
+ * attempts and the pool's retry budget. Used on the event loop.
  */
 final class AttemptTracker {
-    /** Targets chosen in vain, without a byte sent, after which a request is refused. */
+    /** Number of attempts that failed before sending, after which the request is refused. */
     private static final int MAX_UNSENT_ATTEMPTS = 4;
 
     private int mSentCount;
     private int mUnsentCount;
     private boolean mMayHaveRun;
 
-    /** Returns to how many targets the request was sent. */
+    /** Returns the number of attempts in which the request was sent. */
     int sentCount() {
         return mSentCount;
     }
@@ -31,30 +31,30 @@
         mSentCount++;
     }
 
-    /** Notes an attempt that brought no answer. */
+    /** Records an attempt without a response. */
     void onFailed(boolean mayHaveRun) {
         mMayHaveRun |= mayHaveRun;
     }
 
-    /** Returns whether the route allows that the request is repeated at another target. */
+    /** Returns whether the route allows a retry at another target. */
     boolean allowsRetry(Route route) {
         return route.kind().isRepeatable() && mSentCount < route.attempts();
     }
 
     /**
-     * Returns whether the request may be sent once more.
+     * Returns whether another attempt is allowed.
      *
-     * @param tooLate whether the caller has events that no other target can continue
-     * @param budget takes a repeat from the pool's budget, if there is one left
+     * @param cannotResume whether the caller has received events that no other target can continue
+     * @param budget takes one retry from the pool's budget, if available
      */
     boolean allowsNextAttempt(
-            AttemptResult end, Route route, boolean tooLate, BooleanSupplier budget) {
-        if (end.kind().isUnsent()) {
+            AttemptResult result, Route route, boolean cannotResume, BooleanSupplier budget) {
+        if (result.kind().isUnsent()) {
             return ++mUnsentCount < MAX_UNSENT_ATTEMPTS;
         }
         if (mMayHaveRun && !route.kind().isRepeatable()) {
             return false;
         }
-        return !tooLate && mSentCount < route.attempts() && budget.getAsBoolean();
+        return !cannotResume && mSentCount < route.attempts() && budget.getAsBoolean();
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerConnection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerConnection.java
@@ -24,12 +24,13 @@
 import java.util.Deque;
 
 /**
- * Is one caller's connection: reads requests whole, one after another, and writes their answers.
+ * A connection from a caller: reads complete requests one after another and writes their responses.
+ * Used on the event loop.
  *
- * <p>A connection that ends takes its request with it. Used on the event loop.
+ * <p>If the connection closes, its active request is cancelled.
  */
 final class CallerConnection extends ChannelDuplexHandler implements ResponseSink {
-    /** Requests sent ahead of their answers that are kept; a caller with more is held up. */
+    /** Maximum number of pipelined requests; reading pauses when it is reached. */
     private static final int MAX_QUEUED = 16;
 
     private final RouterContext mContext;
@@ -47,7 +48,7 @@
     /**
      * Creates a connection.
      *
-     * @param arrival when it came, with its first request
+     * @param arrival arrival of the connection and its first request
      */
     CallerConnection(RouterContext context, Arrival arrival) {
         mContext = context;
@@ -64,7 +65,7 @@
         mContext.connections().add(this);
     }
 
-    /** Notes that bytes came: the first ones after an answer begin a request. */
+    /** Handles received bytes: the first ones after a response start a request. */
     void onBytes() {
         if (mRequestStartedAt == 0) {
             mRequestStartedAt = mContext.now();
@@ -87,7 +88,7 @@
 
     private void enqueue(FullHttpRequest r) {
         if (mClosing) {
-            return; // not read: the caller sees the connection close
+            return; // ignored: the connection is being closed
         }
         if (r.decoderResult().isFailure()) {
             refuseMalformed(r.decoderResult().cause());
@@ -100,7 +101,7 @@
                         r.uri(),
                         r.headers().copy(),
                         ByteBufUtil.getBytes(r.content()),
-                        mContext.protocol().decode(r),
+                        mContext.headerCodec().decode(r),
                         mArrival == null ? mContext.arrivalTracker().next() : mArrival);
         mRequestStartedAt = 0;
         mArrival = null;
@@ -140,7 +141,7 @@
         respond(mContext.responses().local("", status, "malformed request"));
     }
 
-    // ---------------------------------------------------------------- answering
+    // ---------------------------------------------------------------- writing
 
     @Override
     public void respond(FullHttpResponse response) {
@@ -160,7 +161,8 @@
             bytes.release();
             return;
         }
-        mCodec.writeAndFlush(ChunkEncoder.encode(mCodec.alloc(), bytes)); // beneath the encoder
+        mCodec.writeAndFlush(
+                ChunkEncoder.encode(mCodec.alloc(), bytes)); // bypasses the HTTP encoder
     }
 
     @Override
@@ -206,7 +208,7 @@
         return mChannel.channel().isWritable();
     }
 
-    // ---------------------------------------------------------------- life
+    // ---------------------------------------------------------------- lifecycle
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
@@ -229,10 +231,10 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close(); // the caller has reset its connection; channelInactive does the rest
+        ctx.close(); // connection reset by the caller; channelInactive cleans up
     }
 
-    /** Closes the connection if it has been idle, or a request has been coming, for too long. */
+    /** Closes the connection if it was idle, or receiving a request head, for too long. */
     void closeIfStale(long now, CallerLimits limits) {
         if (mFlow != null || mClosing) {
             return;
@@ -245,14 +247,14 @@
         }
     }
 
-    /** Closes the connection if no request is under way. */
+    /** Closes the connection if no request is active. */
     void closeIfIdle() {
         if (mFlow == null && mRequestStartedAt == 0 && !mClosing) {
             close();
         }
     }
 
-    /** Returns whether a request is under way or coming in. */
+    /** Returns whether a request is active or being received. */
     boolean isBusy() {
         return mFlow != null || mRequestStartedAt != 0;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerRequest.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerRequest.java
@@ -7,14 +7,14 @@
 import org.forkseam.direct.spi.RequestHead;
 
 /**
- * Holds a caller's request, read whole.
+ * A complete request from a caller. Immutable by convention.
  *
- * @param method its method
- * @param uri its path and query, as sent
- * @param headers its headers, as sent
- * @param body its body
- * @param head what the headers say
- * @param arrival when its first byte came
+ * @param method the method
+ * @param uri the path and query as sent
+ * @param headers the headers as sent
+ * @param body the body
+ * @param head the decoded headers
+ * @param arrival arrival of the first byte
  */
 record CallerRequest(
         HttpMethod method,
@@ -24,7 +24,7 @@
         RequestHead head,
         Arrival arrival) {
 
-    /** Returns when its first byte came, in the clock's milliseconds. */
+    /** Returns the arrival time of the first byte in the clock's milliseconds. */
     long receivedMillis() {
         return arrival.millis();
     }
@@ -36,15 +36,15 @@
     }
 
     /**
-     * Returns a hash of what the request asks for: its path and query, its caller's key and its
-     * body. A request that comes again under another id has the same.
+     * Returns a hash of path, query, caller key and body. Repetitions of a request under another id
+     * have the same hash.
      */
     long contentHash() {
-        long what = Hashes.mix(Hashes.of(uri), Hashes.of(head.key().orElse("")));
-        return Hashes.mix(what, Hashes.of(body));
+        long headHash = Hashes.mix(Hashes.of(uri), Hashes.of(head.key().orElse("")));
+        return Hashes.mix(headHash, Hashes.of(body));
     }
 
-    /** Returns the request's id, or an empty text if it has none. */
+    /** Returns the request id, or an empty string if there is none. */
     String id() {
         return head.requestId().orElse("");
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerServer.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerServer.java
@@ -14,7 +14,7 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Listens for callers. Used on the event loop. */
+/** Accepts connections from callers. Used on the event loop. */
 final class CallerServer {
     private final EventLoopGroup mGroup;
     private final RouterContext mContext;
@@ -58,7 +58,7 @@
                 .addLast(connection);
     }
 
-    /** Takes no further connection. */
+    /** Closes the listening socket; open connections are kept. */
     void closeListener() {
         if (mListener != null) {
             mListener.close();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
@@ -16,17 +16,17 @@
 import java.util.Set;
 
 /**
- * Finds out whether a target ended when it broke off requests, and tells which requests those were.
- * Used on the event loop.
+ * Detects target crashes and reports the requests that were running to the quarantine. Used on the
+ * event loop.
  *
- * <p>A target that breaks off one answer lives, and takes a new connection; where nobody listens
- * any more, it has ended. One connection is opened for all that a target broke off at a time: some
- * 1 ms of a target's time, and a living one gets it instead of the broken one.
+ * <p>When a target closes a connection during a request, one new connection is opened to it. If the
+ * connection is refused, the target has crashed; otherwise the new connection replaces the broken
+ * one.
  */
 final class CrashDetector {
     /**
-     * A target that has been bringing an answer for so long has not ended by it: in the incident
-     * targets ended 46 to 95 ms after they had begun. Unit: milliseconds.
+     * A connection lost later than this after the response head does not count as a crash caused by
+     * the request.
      */
     private static final long MAX_CRASH_DELAY_MILLIS = 1_000;
 
@@ -40,48 +40,48 @@
         mQuarantine = quarantine;
     }
 
-    /** Returns the ends of targets seen since the start. */
+    /** Returns the number of crashes detected since the start. */
     long crashCount() {
         return mCrashCount;
     }
 
     /**
-     * Notes that a target has broken off a request.
+     * Handles a connection lost during a request.
      *
-     * @param content hash of what the request asks for
-     * @param answeringMillis for how long the target had been answering it
-     * @param then is run once it is known whether the target has ended, if that may decide what
-     *     becomes of the request; else at once
+     * @param contentHash hash of the request's content
+     * @param respondingMillis time since the target's response head
+     * @param callback runs after the probe if its result may quarantine the request, otherwise
+     *     immediately
      */
-    void onConnectionLost(Target t, long content, long answeringMillis, Runnable then) {
-        if (answeringMillis > MAX_CRASH_DELAY_MILLIS) {
-            then.run();
+    void onConnectionLost(Target t, long contentHash, long respondingMillis, Runnable callback) {
+        if (respondingMillis > MAX_CRASH_DELAY_MILLIS) {
+            callback.run();
             return;
         }
-        Probe look = mProbes.get(t.start());
-        boolean isNew = look == null;
+        Probe probe = mProbes.get(t.start());
+        boolean isNew = probe == null;
         if (isNew) {
-            look = new Probe(t);
-            mProbes.put(t.start(), look);
+            probe = new Probe(t);
+            mProbes.put(t.start(), probe);
         }
-        look.mContents.add(content);
-        boolean decides = mQuarantine.isLastCrashAllowed(content);
-        if (decides) {
-            look.mCallbacks.add(then);
+        probe.mContentHashes.add(contentHash);
+        boolean mayQuarantine = mQuarantine.isLastCrashAllowed(contentHash);
+        if (mayQuarantine) {
+            probe.mCallbacks.add(callback);
         }
         if (isNew) {
-            mTargets.pool(t).openReplacement(look);
+            mTargets.pool(t).openReplacement(probe);
         }
-        if (!decides) {
-            then.run();
+        if (!mayQuarantine) {
+            callback.run();
         }
     }
 
-    /** Is a look at a target that has broken off requests. */
+    /** A connection attempt that determines whether a target still listens. */
     private final class Probe implements ConnectionCallback {
         private final Target mTarget;
         private final int mCrashId;
-        private final Set<Long> mContents = new HashSet<>();
+        private final Set<Long> mContentHashes = new HashSet<>();
         private final List<Runnable> mCallbacks = new ArrayList<>();
 
         Probe(Target t) {
@@ -108,9 +108,9 @@
             Event.of("target_ended")
                     .with("target", mTarget.entry().id())
                     .with("address", mTarget.entry().address())
-                    .with("requests", mContents.size())
+                    .with("requests", mContentHashes.size())
                     .log();
-            mContents.forEach(c -> mQuarantine.onCrash(c, mCrashId));
+            mContentHashes.forEach(c -> mQuarantine.onCrash(c, mCrashId));
         }
 
         private void finish() {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/EventLoopLag.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/EventLoopLag.java
@@ -1,14 +1,11 @@
 package org.forkseam.direct.flow;
 
-/**
- * Watches how late the ticks of the event loop come: a loop with time to spare is punctual. Used on
- * the event loop.
- */
+/** Measures the scheduling delay of event loop ticks to detect overload. Used on the event loop. */
 final class EventLoopLag {
-    /** Lateness, smoothed, from which on the loop is taken to be behind. Unit: milliseconds. */
+    /** Smoothed lag above which the loop counts as overloaded. */
     private static final double OVERLOADED_MILLIS = 6;
 
-    /** Weight of the newest tick: about three ticks decide. */
+    /** Weight of the newest sample in the moving average. */
     private static final double SMOOTHING_FACTOR = 0.4;
 
     private final long mPeriodMillis;
@@ -16,9 +13,9 @@
     private double mLagMillis;
 
     /**
-     * Creates a watch. A router that starts is behind until its ticks say otherwise.
+     * Creates a measurement that starts as overloaded until ticks are on time.
      *
-     * @param periodMillis pause between two ticks
+     * @param periodMillis interval between two ticks
      */
     EventLoopLag(long periodMillis, long nowMillis) {
         mPeriodMillis = periodMillis;
@@ -26,19 +23,19 @@
         mLagMillis = 2 * OVERLOADED_MILLIS;
     }
 
-    /** Notes a tick, which was due one period after the last. */
+    /** Records a tick, which was due one period after the last. */
     void onTick(long nowMillis) {
-        long late = Math.abs(nowMillis - mLastTick - mPeriodMillis);
+        long lag = Math.abs(nowMillis - mLastTick - mPeriodMillis);
         mLastTick = nowMillis;
-        mLagMillis += SMOOTHING_FACTOR * (late - mLagMillis);
+        mLagMillis += SMOOTHING_FACTOR * (lag - mLagMillis);
     }
 
-    /** Returns whether the loop has more to do than it gets done. */
+    /** Returns whether the event loop is overloaded. */
     boolean isOverloaded() {
         return mLagMillis > OVERLOADED_MILLIS;
     }
 
-    /** Returns by how much ticks come late, smoothed, in milliseconds. */
+    /** Returns the smoothed tick delay. */
     double lagMillis() {
         return mLagMillis;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/FailureResponder.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/FailureResponder.java
@@ -3,8 +3,8 @@
 import java.util.OptionalLong;
 
 /**
- * Ends a request that no target will answer: as refused if it has certainly not run, with the time
- * to come back after, and else as failed. Used on the event loop.
+ * Sends the final response of a request that no target answered: a refusal with a retry delay if it
+ * was certainly not run, otherwise a failure. Used on the event loop.
  */
 final class FailureResponder {
     private final RouterContext mContext;
@@ -14,53 +14,53 @@
 
     FailureResponder(
             RouterContext context,
-            FinalResponse answer,
-            AttemptTracker tally,
-            TargetSelection placement) {
+            FinalResponse response,
+            AttemptTracker attempts,
+            TargetSelection targetSelection) {
         mContext = context;
-        mResponse = answer;
-        mAttempts = tally;
-        mTargetSelection = placement;
+        mResponse = response;
+        mAttempts = attempts;
+        mTargetSelection = targetSelection;
     }
 
     /**
-     * Ends a request.
+     * Sends the final response.
      *
-     * @param why the reason, for the caller and the log
-     * @param begun whether the caller has got a part of a stream
+     * @param reason the reason, for the caller and the log
+     * @param streaming whether part of a stream was already sent to the caller
      */
-    void respond(String why, Admission a, boolean begun) {
-        if (failIfMayHaveRun(why, a, begun)) {
+    void respond(String reason, Admission a, boolean streaming) {
+        if (failIfMayHaveRun(reason, a, streaming)) {
             return;
         }
-        long backIn = mContext.comeBack(a.pool()).onRefused(mContext.now());
-        OptionalLong freeIn = mTargetSelection.availableInMillis(a);
-        if (freeIn.isPresent()) {
-            mResponse.refuseUntil(why, freeIn.getAsLong());
+        long retryAfter = mContext.comeBack(a.pool()).onRefused(mContext.now());
+        OptionalLong availableIn = mTargetSelection.availableInMillis(a);
+        if (availableIn.isPresent()) {
+            mResponse.refuseUntil(reason, availableIn.getAsLong());
         } else {
-            mResponse.refuse(why, backIn);
+            mResponse.refuse(reason, retryAfter);
         }
     }
 
     /**
-     * Ends a request under which targets end.
+     * Sends the final response of a quarantined request.
      *
-     * @param backInMillis when its term is over
+     * @param retryAfterMillis time until the quarantine ends
      */
-    void respondQuarantined(long backInMillis, Admission a, boolean begun) {
-        if (!failIfMayHaveRun("quarantined", a, begun)) {
-            mResponse.refuseQuarantined(backInMillis);
+    void respondQuarantined(long retryAfterMillis, Admission a, boolean streaming) {
+        if (!failIfMayHaveRun("quarantined", a, streaming)) {
+            mResponse.refuseQuarantined(retryAfterMillis);
         }
     }
 
-    /** Ends a request that may have run, or returns false if it has certainly not. */
-    private boolean failIfMayHaveRun(String why, Admission a, boolean begun) {
-        if (begun) {
+    /** Reports a failure if the request may have run; returns false otherwise. */
+    private boolean failIfMayHaveRun(String reason, Admission a, boolean streaming) {
+        if (streaming) {
             mResponse.abortStream();
             return true;
         }
         if (mAttempts.mayHaveRun()) {
-            mResponse.fail(why, a.isExpired(mContext.now()));
+            mResponse.fail(reason, a.isExpired(mContext.now()));
             return true;
         }
         return false;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/FinalResponse.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/FinalResponse.java
@@ -6,7 +6,7 @@
 
 import java.util.function.Consumer;
 
-/** Brings one request to its end toward its caller, with the outcome's name. */
+/** Sends the final response of a request and reports its outcome. Used on the event loop. */
 final class FinalResponse {
     private final RouterContext mContext;
     private final CallerRequest mRequest;
@@ -14,9 +14,9 @@
     private final Consumer<String> mOnEnd;
 
     /**
-     * Creates the end of a request.
+     * Creates the final response of a request.
      *
-     * @param onEnd is told the outcome's name before the caller gets it
+     * @param onEnd receives the outcome's name before the response is sent
      */
     FinalResponse(
             RouterContext context,
@@ -29,13 +29,13 @@
         mOnEnd = onEnd;
     }
 
-    /** Ends a stream whose events the caller has got. */
+    /** Completes a stream. */
     void completeStream() {
         mOnEnd.accept("answered");
         mSink.complete();
     }
 
-    /** Passes on a target's whole answer. */
+    /** Forwards a target's complete response. */
     void forward(Attempt a) {
         mOnEnd.accept("answered");
         mContext.meters().onFirstByte(mContext.now() - mRequest.receivedMillis());
@@ -43,64 +43,66 @@
         mSink.respond(mContext.responses().full(a.head(), a.body(), bodiless));
     }
 
-    /** Passes on a target's whole failure. */
+    /** Forwards a target's error response. */
     void forwardFailure(Attempt a) {
         mOnEnd.accept("target_failed");
         mSink.respond(mContext.responses().full(a.head(), a.body(), false));
     }
 
-    /** Answers what the configuration does not allow. */
-    void reject(AdmissionCheck.Rejected t) {
+    /** Rejects a request that the configuration does not allow. */
+    void reject(AdmissionCheck.Rejected r) {
         respondLocally(
-                "turned_away_" + t.status().code(),
-                mContext.responses().local(mRequest.id(), t.status(), t.reason()));
+                "turned_away_" + r.status().code(),
+                mContext.responses().local(mRequest.id(), r.status(), r.reason()));
     }
 
-    /** Refuses a request that has not run. */
-    void refuse(String why, long backInMillis) {
+    /** Refuses a request that was not run. */
+    void refuse(String reason, long retryAfterMillis) {
         respondLocally(
-                "refused_" + why,
-                mContext.responses().unavailable(mRequest.id(), "not run: " + why, backInMillis));
+                "refused_" + reason,
+                mContext.responses()
+                        .unavailable(mRequest.id(), "not run: " + reason, retryAfterMillis));
     }
 
-    /** Refuses a request that has not run; coming back before is in vain. */
-    void refuseUntil(String why, long backInMillis) {
+    /** Refuses a request that was not run and cannot succeed before the given time. */
+    void refuseUntil(String reason, long retryAfterMillis) {
         respondLocally(
-                "refused_" + why,
+                "refused_" + reason,
                 mContext.responses()
-                        .unavailableUntil(mRequest.id(), "not run: " + why, backInMillis));
+                        .unavailableUntil(mRequest.id(), "not run: " + reason, retryAfterMillis));
     }
 
-    /** Refuses a request under which targets end; coming back before is in vain. */
-    void refuseQuarantined(long backInMillis) {
-        String why = "targets have ended under this request";
+    /** Refuses a quarantined request. */
+    void refuseQuarantined(long retryAfterMillis) {
+        String reason = "targets have ended under this request";
         respondLocally(
                 "refused_quarantined",
                 mContext.responses()
-                        .unavailableUntil(mRequest.id(), "not run: " + why, backInMillis));
+                        .unavailableUntil(mRequest.id(), "not run: " + reason, retryAfterMillis));
     }
 
-    /** Refuses a request for which a router that has just started could not learn enough. */
-    void refuseUnconfigured(long backInMillis) {
+    /** Refuses a request because the router has no configuration yet. */
+    void refuseUnconfigured(long retryAfterMillis) {
         respondLocally(
                 "no_config",
-                mContext.responses().unavailable(mRequest.id(), "no configuration", backInMillis));
+                mContext.responses()
+                        .unavailable(mRequest.id(), "no configuration", retryAfterMillis));
     }
 
     /**
-     * Ends a request that may have run.
+     * Reports the failure of a request that may have run.
      *
-     * @param late whether its time is over
+     * @param late whether the deadline has passed
      */
-    void fail(String why, boolean late) {
+    void fail(String reason, boolean late) {
         HttpResponseStatus status =
                 late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY;
         respondLocally(
-                "failed_" + why,
-                mContext.responses().local(mRequest.id(), status, "may have run: " + why));
+                "failed_" + reason,
+                mContext.responses().local(mRequest.id(), status, "may have run: " + reason));
     }
 
-    /** Ends a stream of which the caller has got a part. */
+    /** Aborts a partially sent stream. */
     void abortStream() {
         mOnEnd.accept("broken_off");
         mSink.abort();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/HopByHopHeaders.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/HopByHopHeaders.java
@@ -9,11 +9,10 @@
 import java.util.function.Predicate;
 
 /**
- * Removes headers that concern one connection only (RFC 9110, 7.6.1).
+ * Removes hop-by-hop headers (RFC 9110, 7.6.1). Stateless.
  *
- * <p>A sender may list fields of its own in {@code Connection}. Those that say what a message is
- * and where it goes stay all the same: otherwise a caller could have a request arrive without its
- * id, its model or its length.
+ * <p>Fields listed in {@code Connection} are removed as well, except those that define the message
+ * or its routing. Otherwise a caller could make the router strip a request's id, model or length.
  */
 final class HopByHopHeaders {
     private static final List<CharSequence> HOP_BY_HOP =
@@ -34,18 +33,18 @@
     private HopByHopHeaders() {}
 
     /**
-     * Removes them.
+     * Removes the hop-by-hop headers.
      *
-     * @param isEndToEnd further fields, by name, that no connection option takes away
+     * @param isEndToEnd matches further field names that {@code Connection} cannot remove
      */
     static void remove(HttpHeaders headers, Predicate<String> isEndToEnd) {
         for (String listed : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String part : listed.split(",")) {
                 String name = part.strip();
-                boolean stays =
+                boolean keep =
                         NEVER_REMOVED.contains(name.toLowerCase(Locale.ROOT))
                                 || isEndToEnd.test(name);
-                if (!stays) {
+                if (!keep) {
                     headers.remove(name);
                 }
             }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/OutgoingRequest.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/OutgoingRequest.java
@@ -9,12 +9,14 @@
 import org.forkseam.direct.spi.ForwardingInfo;
 import org.forkseam.direct.spi.HeaderCodec;
 
-/** Makes what a target gets of a caller's request: all of it but what concerns one connection. */
+/**
+ * Builds the request sent to a target from a caller's request, without hop-by-hop headers.
+ * Stateless.
+ */
 final class OutgoingRequest {
     private OutgoingRequest() {}
 
-    static FullHttpRequest of(
-            HeaderCodec protocol, CallerRequest request, ForwardingInfo handover) {
+    static FullHttpRequest of(HeaderCodec codec, CallerRequest request, ForwardingInfo forwarding) {
         FullHttpRequest r =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -22,13 +24,13 @@
                         request.uri(),
                         Unpooled.wrappedBuffer(request.body()));
         r.headers().set(request.headers());
-        HopByHopHeaders.remove(r.headers(), protocol::isEndToEnd);
+        HopByHopHeaders.remove(r.headers(), codec::isEndToEnd);
         r.headers().remove(HttpHeaderNames.EXPECT);
-        boolean told = request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-        if (request.body().length > 0 || told) {
+        boolean hasLength = request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
+        if (request.body().length > 0 || hasLength) {
             r.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
         }
-        protocol.encodeForwarding(r.headers(), handover);
+        codec.encodeForwarding(r.headers(), forwarding);
         return r;
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/QuarantineCheck.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/QuarantineCheck.java
@@ -3,59 +3,59 @@
 import org.forkseam.direct.know.Quarantine;
 
 /**
- * Keeps one request from targets if targets have ended under what it asks for. Asked before each
- * attempt and again right before sending: the news may come while a connection opens. Used on the
- * event loop.
+ * Checks one request against the quarantine for requests that crashed targets. Called before each
+ * attempt and again right before sending, as the quarantine may change while a connection opens.
+ * Used on the event loop.
  */
 final class QuarantineCheck {
     private final Quarantine mQuarantine;
-    private final long mContent;
+    private final long mContentHash;
     private boolean mTrialRequested;
     private boolean mTrialGranted;
 
-    QuarantineCheck(Quarantine quarantine, long content) {
+    QuarantineCheck(Quarantine quarantine, long contentHash) {
         mQuarantine = quarantine;
-        mContent = content;
+        mContentHash = contentHash;
     }
 
-    /** Returns whether a target may get the request. */
+    /** Returns whether the request may be sent to a target. */
     boolean maySend() {
-        return mTrialGranted || mQuarantine.verdict(mContent) == Quarantine.Verdict.SERVE;
+        return mTrialGranted || mQuarantine.verdict(mContentHash) == Quarantine.Verdict.SERVE;
     }
 
-    /** Returns whether this router may ask to send the request once, its term being over. */
+    /** Returns whether this router may request a trial: one attempt after the quarantine period. */
     boolean canRequestTrial() {
-        return !mTrialRequested && mQuarantine.verdict(mContent) == Quarantine.Verdict.TRY;
+        return !mTrialRequested && mQuarantine.verdict(mContentHash) == Quarantine.Verdict.TRY;
     }
 
-    /** Asks for that, and runs a task once it is known. */
-    void requestTrial(Runnable then) {
+    /** Requests a trial and runs {@code callback} when the decision is known. */
+    void requestTrial(Runnable callback) {
         mTrialRequested = true;
         mQuarantine
-                .askToTry(mContent)
+                .askToTry(mContentHash)
                 .thenAccept(
                         granted -> {
                             mTrialGranted = granted;
-                            then.run();
+                            callback.run();
                         });
     }
 
     /**
-     * Notes how an attempt ended. A trial is one attempt that a target may have run: one that found
-     * its target gone or full says nothing of the request, and another target gets it.
+     * Records the result of an attempt. A trial is used up only by an attempt that the target may
+     * have run; others say nothing about the request.
      */
     void onAttemptEnd(boolean mayHaveRun, boolean answered) {
         if (mTrialGranted && mayHaveRun) {
             mTrialGranted = false;
-            mQuarantine.onTrialEnded(mContent, answered);
+            mQuarantine.onTrialEnded(mContentHash, answered);
         }
         if (answered) {
-            mQuarantine.onAnswered(mContent);
+            mQuarantine.onAnswered(mContentHash);
         }
     }
 
-    /** Returns after how many milliseconds a refused caller should come back. */
+    /** Returns the time after which a refused caller may retry. */
     long retryAfterMillis() {
-        return mQuarantine.backInMillis(mContent);
+        return mQuarantine.backInMillis(mContentHash);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
@@ -17,16 +17,16 @@
 import java.util.OptionalLong;
 
 /**
- * Carries one request from its reading to its final answer. Used on the event loop.
+ * Processes one request from arrival to the final response. Used on the event loop.
  *
- * <p>One attempt is under way at a time; whether another follows is decided by {@link
- * AttemptTracker}.
+ * <p>At most one attempt is active at a time; {@link AttemptTracker} decides about further
+ * attempts.
  */
 final class RequestFlow implements AttemptListener, RequestQueue.QueuedRequest {
-    /** A request waits so long for a router that has just started; then it is refused. */
+    /** Maximum wait for the first configuration after a start; then the request is refused. */
     private static final long CONFIG_WAIT_MILLIS = 600;
 
-    /** By then such a router knows enough, or the balancer has taken it out. Unit: ms. */
+    /** Retry delay sent while there is no configuration. */
     private static final long UNCONFIGURED_RETRY_AFTER_MILLIS = 500;
 
     private final RouterContext mContext;
@@ -60,7 +60,7 @@
         mReadAt = context.now();
     }
 
-    // ---------------------------------------------------------------- beginning
+    // ---------------------------------------------------------------- admission
 
     void start() {
         mContext.activeRequests().add(this);
@@ -77,7 +77,7 @@
         return mDone || !mSink.isOpen();
     }
 
-    /** Checks the request by the configuration in force; a newer one is asked anew. */
+    /** Checks the request against the active configuration, again if it has changed. */
     @Override
     public RequestQueue.Readiness prepare() {
         if (!mContext.knowledge().isComplete()) {
@@ -91,16 +91,16 @@
 
     private void check(TrafficConfig config) {
         mConfig = config;
-        AdmissionCheck.Decision verdict = AdmissionCheck.check(config, mRequest);
-        if (verdict instanceof AdmissionCheck.Admitted p) {
-            admit(p);
+        AdmissionCheck.Decision decision = AdmissionCheck.check(config, mRequest);
+        if (decision instanceof AdmissionCheck.Admitted admitted) {
+            admit(admitted);
         } else {
-            mResponse.reject((AdmissionCheck.Rejected) verdict);
+            mResponse.reject((AdmissionCheck.Rejected) decision);
         }
     }
 
-    private void admit(AdmissionCheck.Admitted p) {
-        mAdmission = Admission.of(mConfig, p, mRequest);
+    private void admit(AdmissionCheck.Admitted admitted) {
+        mAdmission = Admission.of(mConfig, admitted, mRequest);
         if (route().kind() == RouteKind.RESUMABLE) {
             mLastEventId = mRequest.head().lastEventId().orElse(null);
         }
@@ -155,17 +155,21 @@
         mAttempt.start(mAdmission.maxIdleMillis());
     }
 
-    /** Waits for the first target that wants work again, if that is soon. */
+    /**
+     * Waits for a target to accept requests again if that is soon enough; fails the request
+     * otherwise.
+     */
     private void waitForTargetOrFail() {
-        OptionalLong freeIn = mTargetSelection.availableInMillis(mAdmission);
-        long until = mContext.now() + freeIn.orElse(0);
-        if (freeIn.isEmpty() || !mAdmission.mayWait(mRequest.receivedMillis(), until)) {
-            respondWithFailure(mTargetSelection.unavailableReason(mAdmission, freeIn.isPresent()));
+        OptionalLong availableIn = mTargetSelection.availableInMillis(mAdmission);
+        long until = mContext.now() + availableIn.orElse(0);
+        if (availableIn.isEmpty() || !mAdmission.mayWait(mRequest.receivedMillis(), until)) {
+            respondWithFailure(
+                    mTargetSelection.unavailableReason(mAdmission, availableIn.isPresent()));
             return;
         }
         mTargetSelection.clearTried();
-        mLogger.onHeldForTarget(freeIn.getAsLong());
-        mContext.timer().after(freeIn.getAsLong(), this::startAttemptUnlessDone);
+        mLogger.onHeldForTarget(availableIn.getAsLong());
+        mContext.timer().after(availableIn.getAsLong(), this::startAttemptUnlessDone);
     }
 
     private void startAttemptUnlessDone() {
@@ -174,7 +178,7 @@
         }
     }
 
-    /** Targets have ended under the request: it gets no other, but for a trial now and then. */
+    /** Handles a quarantined request: refuses it or requests a trial. */
     private void refuseOrRequestTrial() {
         if (!mQuarantine.canRequestTrial()) {
             mFailureResponder.respondQuarantined(
@@ -191,10 +195,10 @@
 
     private FullHttpRequest requestFor(Target t) {
         mAttempts.onSent();
-        return OutgoingRequest.of(mContext.protocol(), mRequest, handover(t));
+        return OutgoingRequest.of(mContext.headerCodec(), mRequest, forwardingInfo(t));
     }
 
-    private ForwardingInfo handover(Target t) {
+    private ForwardingInfo forwardingInfo(Target t) {
         return new ForwardingInfo(
                 t.entry().id(),
                 mAdmission.remainingMillis(mContext.now()),
@@ -205,53 +209,53 @@
     }
 
     @Override
-    public void onAttemptEnded(Attempt a, AttemptResult end) {
+    public void onAttemptEnded(Attempt a, AttemptResult result) {
         mAttempt = null;
         long now = mContext.now();
-        mContext.meters().onAttempt(end.kind().name());
-        end.recordOn(a.target(), mContext.errorRate(pool()), now);
-        boolean answered = end.kind() == AttemptResult.Kind.ANSWERED && !a.isRateLimited();
-        mQuarantine.onAttemptEnd(end.kind().mayHaveRun(), answered);
+        mContext.meters().onAttempt(result.kind().name());
+        result.recordOn(a.target(), mContext.errorRate(pool()), now);
+        boolean answered = result.kind() == AttemptResult.Kind.ANSWERED && !a.isRateLimited();
+        mQuarantine.onAttemptEnd(result.kind().mayHaveRun(), answered);
         updateLastEventId(a);
-        if (end.kind() == AttemptResult.Kind.ANSWERED) {
+        if (result.kind() == AttemptResult.Kind.ANSWERED) {
             if (!mDone) {
                 finishAnswered(a);
             }
             return;
         }
-        mAttempts.onFailed(end.kind().mayHaveRun());
-        if (end.kind() == AttemptResult.Kind.BROKEN) {
+        mAttempts.onFailed(result.kind().mayHaveRun());
+        if (result.kind() == AttemptResult.Kind.BROKEN) {
             mContext.crashDetector()
                     .onConnectionLost(
                             a.target(),
                             mContentHash,
                             a.respondingMillis(now),
-                            () -> retryOrFinish(a, end));
+                            () -> retryOrFinish(a, result));
             return;
         }
-        retryOrFinish(a, end);
+        retryOrFinish(a, result);
     }
 
-    /** Decides what follows an attempt that brought no answer. */
-    private void retryOrFinish(Attempt a, AttemptResult end) {
+    /** Starts another attempt or finishes the request after a failed attempt. */
+    private void retryOrFinish(Attempt a, AttemptResult result) {
         if (mDone) {
             return;
         }
-        mLogger.onAttemptEnd(a, end, mAttempts.sentCount());
-        if (mayRetry(end, mContext.now())) {
+        mLogger.onAttemptEnd(a, result, mAttempts.sentCount());
+        if (mayRetry(result, mContext.now())) {
             startAttempt();
             return;
         }
-        finishFailed(a, end);
+        finishFailed(a, result);
     }
 
-    private boolean mayRetry(AttemptResult end, long now) {
-        boolean tooLate = mStreaming && mLastEventId == null;
+    private boolean mayRetry(AttemptResult result, long now) {
+        boolean cannotResume = mStreaming && mLastEventId == null;
         return !mAdmission.isExpired(now)
                 && mAttempts.allowsNextAttempt(
-                        end,
+                        result,
                         route(),
-                        tooLate,
+                        cannotResume,
                         () -> mContext.retryBudgets().pool(pool()).tryRepeat(now));
     }
 
@@ -260,7 +264,7 @@
     @Override
     public void onStreamStarted(Attempt a) {
         if (mStreaming) {
-            return; // a continued stream keeps the head of its first target
+            return; // a resumed stream keeps the head from its first target
         }
         mStreaming = true;
         mContext.meters().onFirstByte(mContext.now() - mRequest.receivedMillis());
@@ -281,9 +285,9 @@
         }
     }
 
-    // ---------------------------------------------------------------- time
+    // ---------------------------------------------------------------- timeouts
 
-    /** Refuses a request for which a router that has just started could not learn enough. */
+    /** Refuses the request if the router has no configuration for too long. */
     private void refuseIfUnconfigured(long now) {
         if (now - mReadAt > CONFIG_WAIT_MILLIS) {
             mConfig = mContext.knowledge().config();
@@ -291,7 +295,7 @@
         }
     }
 
-    /** Looks after time: the deadline, and targets that have gone silent. */
+    /** Checks the deadline and whether the current attempt is stalled. */
     void onTick(long now) {
         if (mDone) {
             return;
@@ -347,7 +351,7 @@
         respondWithFailure("deadline");
     }
 
-    // ---------------------------------------------------------------- ending
+    // ---------------------------------------------------------------- completion
 
     private void finishAnswered(Attempt a) {
         mContext.comeBack(pool()).onServed(mContext.now());
@@ -359,21 +363,24 @@
         }
     }
 
-    private void finishFailed(Attempt a, AttemptResult end) {
-        if (end.kind() == AttemptResult.Kind.FAILED && !mStreaming && canForwardFailure(a)) {
+    private void finishFailed(Attempt a, AttemptResult result) {
+        if (result.kind() == AttemptResult.Kind.FAILED && !mStreaming && canForwardFailure(a)) {
             mResponse.forwardFailure(a);
             return;
         }
-        respondWithFailure(end.kind().name().toLowerCase(Locale.ROOT));
+        respondWithFailure(result.kind().name().toLowerCase(Locale.ROOT));
     }
 
-    /** A 503 says that the request has not run; a target's that has run is not passed on. */
+    /**
+     * Returns whether a target's error response can be forwarded. A 503 cannot: callers take it to
+     * mean that the request was not run.
+     */
     private static boolean canForwardFailure(Attempt a) {
         return a.head().status().code() != HttpResponseStatus.SERVICE_UNAVAILABLE.code();
     }
 
-    private void respondWithFailure(String why) {
-        mFailureResponder.respond(why, mAdmission, mStreaming);
+    private void respondWithFailure(String reason) {
+        mFailureResponder.respond(reason, mAdmission, mStreaming);
     }
 
     private void onFinished(String outcome) {
@@ -390,7 +397,7 @@
                         mTargetSelection.copySource()));
     }
 
-    /** The caller has gone: nothing is sent any more, and the target sees its connection close. */
+    /** Cancels the request after its caller disconnected. */
     void onCallerDisconnected() {
         if (mDone) {
             return;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestLogger.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestLogger.java
@@ -8,30 +8,30 @@
 import java.util.Optional;
 
 /**
- * Writes down what is decided on one request: a log line for each attempt that brought no answer
- * and one for the end, and notes for operators who ask. Used on the event loop.
+ * Logs the decisions on one request: a log line per failed attempt and one for the outcome, and
+ * notes for the decision log. Used on the event loop.
  */
 final class RequestLogger {
     private final RouterContext mContext;
     private final CallerRequest mRequest;
-    private final String mContent;
+    private final String mContentHash;
     private Optional<Selection> mSelection = Optional.empty();
 
     /**
-     * Holds a choice of target and what decided it.
+     * A selected target and the inputs of the selection.
      *
-     * @param key what the choice was made by
-     * @param sharedTokens tokens of the prompt that other requests share
+     * @param key the selection key
+     * @param sharedTokens number of prompt tokens shared with other requests
      */
     record Selection(String pool, Pick pick, String key, long sharedTokens) {}
 
-    /** Holds what a request's last line tells beside its outcome. */
+    /** Values logged together with a request's outcome. */
     record Summary(String route, String team, long config, int sent, Optional<String> copySource) {}
 
-    RequestLogger(RouterContext context, CallerRequest request, long content) {
+    RequestLogger(RouterContext context, CallerRequest request, long contentHash) {
         mContext = context;
         mRequest = request;
-        mContent = Hashes.text(content);
+        mContentHash = Hashes.text(contentHash);
     }
 
     private long now() {
@@ -42,13 +42,13 @@
         mContext.decisions().note(mRequest.id(), what, where);
     }
 
-    void onTargetSelected(Selection choice) {
-        mSelection = Optional.of(choice);
-        Pick p = choice.pick();
+    void onTargetSelected(Selection selection) {
+        mSelection = Optional.of(selection);
+        Pick p = selection.pick();
         Target t = p.target();
         addNote(
                 "chosen in pool "
-                        + choice.pool()
+                        + selection.pool()
                         + " as "
                         + p.reason()
                         + ", rank "
@@ -63,25 +63,25 @@
     }
 
     void onHeldForTarget(long millis) {
-        addNote("waits " + millis + " ms for a target that wants work again", "");
+        addNote("waiting " + millis + " ms for a target to accept requests again", "");
         mContext.meters().onHeldForTarget();
     }
 
-    void onAttemptEnd(Attempt a, AttemptResult end, int sent) {
+    void onAttemptEnd(Attempt a, AttemptResult result, int sent) {
         addNote(
                 "attempt ended "
-                        + end.kind()
-                        + (end.kind().mayHaveRun() ? ", may have run: " : ", not run: ")
-                        + end.detail(),
+                        + result.kind()
+                        + (result.kind().mayHaveRun() ? ", may have run: " : ", not run: ")
+                        + result.detail(),
                 a.target().entry().id());
         Event.of("attempt_ended")
                 .with("request", mRequest.id())
-                .with("content", mContent)
+                .with("content", mContentHash)
                 .with("target", a.target().entry().id())
                 .with("address", a.target().entry().address())
-                .with("end", end.kind())
-                .with("may_have_run", end.kind().mayHaveRun())
-                .with("detail", end.detail())
+                .with("end", result.kind())
+                .with("may_have_run", result.kind().mayHaveRun())
+                .with("detail", result.detail())
                 .with("sent", sent)
                 .with("age_ms", a.ageMillis(now()))
                 .with("target_share", a.target().health().share(now()))
@@ -89,19 +89,19 @@
     }
 
     void onEnd(String outcome, Summary s) {
-        long took = now() - mRequest.receivedMillis();
+        long durationMillis = now() - mRequest.receivedMillis();
         mContext.meters().onOutcome(outcome);
-        mContext.meters().onEnd(took);
-        addNote(outcome + " after " + took + " ms, configuration " + s.config(), "");
+        mContext.meters().onEnd(durationMillis);
+        addNote(outcome + " after " + durationMillis + " ms, configuration " + s.config(), "");
         Event e =
                 Event.of(outcome)
                         .with("request", mRequest.id())
-                        .with("content", mContent)
+                        .with("content", mContentHash)
                         .with("route", s.route())
                         .with("team", s.team())
                         .with("config", s.config())
                         .with("sent", s.sent())
-                        .with("took_ms", took);
+                        .with("took_ms", durationMillis);
         mSelection.ifPresent(c -> addSelection(e, c, s));
         e.log();
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestMeters.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestMeters.java
@@ -18,13 +18,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Counts what becomes of requests and attempts. Used on the event loop.
+ * Meters for requests and attempts. Used on the event loop.
  *
- * <p>Counts are plain numbers until a registry is bound, since the registry's classes need not be
- * loaded before the router serves.
+ * <p>Values are collected in plain fields until a registry is bound, so that the registry's classes
+ * are loaded only after startup.
  */
 final class RequestMeters implements MeterBinder {
-    /** Samples kept until a registry is bound: a few seconds' worth. */
+    /** Maximum number of samples buffered until a registry is bound. */
     private static final int MAX_PENDING = 4_096;
 
     private static final Duration[] BUCKETS = {
@@ -91,7 +91,7 @@
         mTotal.record(millis);
     }
 
-    /** Is one count. */
+    /** A counter that can be registered later. */
     private static final class Counter {
         private long mValue;
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Is a latency histogram; keeps its first samples until there is a registry. */
+    /** A latency histogram that buffers samples until a registry is bound. */
     private static final class LatencyHistogram {
         private final Deque<Long> mPending = new ArrayDeque<>();
         private Optional<Timer> mTimer = Optional.empty();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestQueue.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestQueue.java
@@ -7,23 +7,15 @@
 import java.util.List;
 
 /**
- * Holds the requests that have been read until they are begun, in the order in which they came.
- * Used on the event loop.
+ * Queues requests between reading and dispatch, in arrival order. Used on the event loop.
  *
- * <p>A router that keeps up begins each at once. One that is behind, after a start, a freeze or on
- * a slow host, has a backlog whose callers may have left, which it has not read yet: it begins a
- * request that waited unread only when a close that followed it would have been read as well. On
- * hosts with 0.35 of a core, 111 requests reached targets over half a second after their callers
- * had left without this, and none with it. It begins in small batches and reads in between, so that
- * the answers of requests under way are not held up by those that follow.
- *
- * <p>Newest first was measured as well: about as many more are answered in time as then fail, since
- * the callers of the oldest leave. So was leaving connections unread until there is room: a caller
- * whose request is not read within a second gives it up. docs/design/deciding-under-load.md holds
- * the figures.
+ * <p>Normally a request is dispatched at once. After a stall, callers may have disconnected while
+ * their requests waited unread. Such a request is dispatched only after one more loop iteration, in
+ * which a disconnect would have been read. Requests are dispatched in small batches with reads in
+ * between, so that responses of active requests are not delayed.
  */
 final class RequestQueue {
-    /** The loop goes back to reading after it has begun requests for so long. Unit: ms. */
+    /** Maximum duration of a batch before the loop reads again. */
     private static final long BATCH_MILLIS = 5;
 
     private final Clock mClock;
@@ -32,51 +24,51 @@
     private final List<Entry> mEntries = new ArrayList<>();
     private boolean mScheduled;
 
-    /** Runs tasks on the event loop. */
+    /** Runs tasks on the event loop after pending reads. */
     interface LoopScheduler {
-        /** Runs a task in this turn of the loop, after all that can be read was read. */
+        /** Runs a task in the current loop iteration, after all pending reads. */
         void runThisIteration(Runnable task);
 
         /**
-         * Runs a task in the next turn of the loop, after all that can be read was read. To be
-         * called by tasks only.
+         * Runs a task in the next loop iteration, after all pending reads. Must be called from a
+         * task.
          */
         void runNextIteration(Runnable task);
     }
 
-    /** Is a request that has been read and not begun. */
+    /** A request that was read and not yet dispatched. */
     interface QueuedRequest {
-        /** Returns when it came. */
+        /** Returns when the request arrived. */
         Arrival arrival();
 
-        /** Prepares the request if that can be done by now; it may end by this. */
+        /** Prepares the request if the router has a configuration; this may finish the request. */
         Readiness prepare();
 
-        /** Returns whether the request has ended: it was answered, or its caller has left. */
+        /** Returns whether the request was answered or its caller has disconnected. */
         boolean isDone();
 
-        /** Begins it. */
+        /** Dispatches the request. */
         void dispatch();
     }
 
-    /** Says whether a request can be begun. */
+    /** Readiness of a request for dispatch. */
     enum Readiness {
-        /** It can. */
+        /** The request can be dispatched. */
         READY,
-        /** The router does not know enough yet. */
+        /** The router has no configuration yet. */
         NOT_YET,
-        /** It has ended. */
+        /** The request has finished. */
         DONE
     }
 
-    /** Is an item, and whether a close that followed it would have been read by now. */
+    /** A queued request, and whether a disconnect of its caller would have been read by now. */
     private static final class Entry {
         private final QueuedRequest mRequest;
         private boolean mDisconnectChecked;
 
-        Entry(QueuedRequest item) {
-            mRequest = item;
-            mDisconnectChecked = !item.arrival().wasDelayed();
+        Entry(QueuedRequest request) {
+            mRequest = request;
+            mDisconnectChecked = !request.arrival().wasDelayed();
         }
 
         QueuedRequest request() {
@@ -84,40 +76,40 @@
         }
     }
 
-    RequestQueue(Clock clock, ArrivalTracker arrivals, LoopScheduler turns) {
+    RequestQueue(Clock clock, ArrivalTracker arrivalTracker, LoopScheduler scheduler) {
         mClock = clock;
-        mArrivalTracker = arrivals;
-        mScheduler = turns;
+        mArrivalTracker = arrivalTracker;
+        mScheduler = scheduler;
     }
 
-    /** Takes a request that has just been read. */
-    void enqueue(QueuedRequest item) {
-        Entry w = new Entry(item);
-        mEntries.add(w);
-        if (w.mDisconnectChecked) {
+    /** Adds a request that was just read. */
+    void enqueue(QueuedRequest request) {
+        Entry e = new Entry(request);
+        mEntries.add(e);
+        if (e.mDisconnectChecked) {
             schedule();
             return;
         }
-        // A close that came while nothing was read is found one turn after the request.
+        // A disconnect during a stall is read one loop iteration after the request.
         mScheduler.runThisIteration(
                 () -> {
                     mArrivalTracker.onReadsDrained();
-                    mScheduler.runNextIteration(() -> onDisconnectChecked(w));
+                    mScheduler.runNextIteration(() -> onDisconnectChecked(e));
                 });
     }
 
-    /** Runs a task in this turn of the loop, once all that can be read was read. */
+    /** Runs a task in the current loop iteration, after all pending reads. */
     void runAfterReads(Runnable task) {
         mScheduler.runThisIteration(task);
     }
 
-    /** Returns the requests that wait. */
+    /** Returns the number of queued requests. */
     int size() {
         return mEntries.size();
     }
 
-    private void onDisconnectChecked(Entry w) {
-        w.mDisconnectChecked = true;
+    private void onDisconnectChecked(Entry e) {
+        e.mDisconnectChecked = true;
         schedule();
     }
 
@@ -128,7 +120,7 @@
         }
     }
 
-    /** Looks at what waits for the router to learn enough. */
+    /** Processes requests that wait for a configuration. */
     void onTick() {
         if (size() > 0) {
             processEntries();
@@ -137,13 +129,13 @@
         }
     }
 
-    /** Begins what waits, as far as this turn of the loop allows. */
+    /** Dispatches queued requests as far as the batch limit allows. */
     private void processEntries() {
         long now = mClock.nowMillis();
         mArrivalTracker.onReadsDrained();
         removeDone();
-        boolean more = dispatchBatch(now);
-        if (more && !mScheduled) {
+        boolean limitReached = dispatchBatch(now);
+        if (limitReached && !mScheduled) {
             mScheduled = true;
             mScheduler.runNextIteration(this::runScheduled);
         }
@@ -154,18 +146,18 @@
         processEntries();
     }
 
-    /** Drops what has ended. */
+    /** Removes finished requests. */
     private void removeDone() {
         Iterator<Entry> i = mEntries.iterator();
         while (i.hasNext()) {
-            QueuedRequest item = i.next().request();
-            if (item.isDone() || item.prepare() == Readiness.DONE) {
+            QueuedRequest r = i.next().request();
+            if (r.isDone() || r.prepare() == Readiness.DONE) {
                 i.remove();
             }
         }
     }
 
-    /** Returns whether it stopped before all were begun. */
+    /** Returns whether the batch limit was reached. */
     private boolean dispatchBatch(long since) {
         while (dispatchFirst()) {
             if (mClock.nowMillis() - since >= BATCH_MILLIS) {
@@ -175,12 +167,12 @@
         return false;
     }
 
-    /** Begins the one that came first, if any can be begun. */
+    /** Dispatches the earliest request that is ready, if any. */
     private boolean dispatchFirst() {
         Entry first = null;
-        for (Entry w : mEntries) {
-            if (mayDispatch(w) && (first == null || isBefore(w, first))) {
-                first = w;
+        for (Entry e : mEntries) {
+            if (mayDispatch(e) && (first == null || isBefore(e, first))) {
+                first = e;
             }
         }
         if (first == null) {
@@ -195,7 +187,7 @@
         return a.request().arrival().millis() < b.request().arrival().millis();
     }
 
-    private static boolean mayDispatch(Entry w) {
-        return w.mDisconnectChecked && w.request().prepare() == Readiness.READY;
+    private static boolean mayDispatch(Entry e) {
+        return e.mDisconnectChecked && e.request().prepare() == Readiness.READY;
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/ResponseSink.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/ResponseSink.java
@@ -4,26 +4,32 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Takes the answer to one request. Used on the event loop. */
+/** Destination of the response to one request. Used on the event loop. */
 interface ResponseSink {
-    /** Sends a whole answer. */
+    /** Sends a complete response. */
     void respond(FullHttpResponse response);
 
-    /** Begins an answer whose body follows in parts. */
+    /** Starts a response whose body follows through {@link #writeBody}. */
     void writeHead(HttpResponse head);
 
-    /** Sends a part of the body; the buffer is the sink's from then on. */
+    /** Sends a part of the body and takes ownership of the buffer. */
     void writeBody(ByteBuf bytes);
 
-    /** Ends the body: the answer is whole. */
+    /** Completes the response. */
     void complete();
 
-    /** Closes the connection within the body, so that the answer cannot look whole. */
+    /**
+     * Closes the connection in the middle of the body, so that the caller can detect the
+     * truncation.
+     */
     void abort();
 
-    /** Returns whether the caller is there: a close may be known before anybody is told of it. */
+    /**
+     * Returns whether the connection is open. May report a close before the corresponding event is
+     * delivered.
+     */
     boolean isOpen();
 
-    /** Returns whether the caller takes more bytes at the moment. */
+    /** Returns whether the connection currently accepts more bytes. */
     boolean isWritable();
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RetryBudgets.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RetryBudgets.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.function.IntSupplier;
 
-/** Keeps one budget of repeats for each pool. Used on the event loop. */
+/** Retry budgets by pool. Used on the event loop. */
 final class RetryBudgets {
-    /** Part of the share that is used, so that a late count of requests does not matter. */
+    /** Safety factor on the share, since requests are counted with a delay. */
     private static final double USED_SHARE = 0.9;
 
     private Bounds mBounds;
@@ -16,10 +16,10 @@
     private final Map<String, WindowBudget> mByPool = new HashMap<>();
 
     /**
-     * Holds what all routers together may repeat.
+     * Retry limits for all routers together.
      *
-     * @param share of the requests of a window
-     * @param allowance repeats besides
+     * @param share retries as a share of the requests in a window
+     * @param allowance retries allowed in addition
      * @param windowMillis length of the window
      */
     record Bounds(double share, double allowance, long windowMillis) {}
@@ -27,14 +27,14 @@
     /**
      * Creates the budgets.
      *
-     * @param routers the number of routers that share the allowance
+     * @param routers supplies the number of routers that share the allowance
      */
     RetryBudgets(Bounds bounds, IntSupplier routers) {
         mBounds = bounds;
         mRouters = routers;
     }
 
-    /** Puts other bounds in force. What was counted stays, unless windows have another length. */
+    /** Replaces the limits. Counts are kept unless the window length changes. */
     void setBounds(Bounds bounds) {
         if (bounds.windowMillis() != mBounds.windowMillis()) {
             mByPool.clear();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
@@ -16,10 +16,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Holds what all requests of a router share. Used on the event loop. */
+/** State shared by all requests of a router. Used on the event loop. */
 final class RouterContext {
     private final Clock mClock;
-    private final HeaderCodec mProtocol;
+    private final HeaderCodec mHeaderCodec;
     private final Knowledge mKnowledge;
     private final TargetConnections mTargetConnections;
     private Selectors mSelectors;
@@ -40,12 +40,12 @@
     private boolean mDraining;
 
     /**
-     * Holds how targets are chosen.
+     * Strategies for selecting targets.
      *
-     * @param filter leaves out targets that cannot take a request
-     * @param engines chooses among model engines
-     * @param services chooses among the targets of plain services
-     * @param regions leaves out targets of regions that are not allowed
+     * @param candidateFilter excludes targets that cannot take a request
+     * @param enginePicker selects among model engines
+     * @param servicePicker selects among targets of plain services
+     * @param homeRegions excludes targets in regions that are not allowed
      */
     record Selectors(
             CandidateFilter candidateFilter,
@@ -57,16 +57,16 @@
         }
     }
 
-    /** Runs tasks on the event loop later. */
+    /** Runs delayed tasks on the event loop. */
     interface Timer {
-        /** Runs a task after so many milliseconds. */
+        /** Runs a task after a delay. */
         void after(long millis, Runnable task);
     }
 
-    /** Holds the parts a context is made of. */
+    /** Components of a context. */
     record Parts(
             Clock clock,
-            HeaderCodec protocol,
+            HeaderCodec headerCodec,
             Knowledge knowledge,
             TargetConnections targetConnections,
             Selectors selectors,
@@ -80,7 +80,7 @@
 
     private RouterContext(Parts p) {
         mClock = p.clock();
-        mProtocol = p.protocol();
+        mHeaderCodec = p.headerCodec();
         mKnowledge = p.knowledge();
         mTargetConnections = p.targetConnections();
         mSelectors = p.selectors();
@@ -103,38 +103,34 @@
         return mClock.nowMillis();
     }
 
-    /** Returns the notes on when requests come. */
     ArrivalTracker arrivalTracker() {
         return mArrivalTracker;
     }
 
-    /** Returns what orders the requests that have been read. */
     RequestQueue requestQueue() {
         return mRequestQueue;
     }
 
-    /** Returns what tells the refused callers of a pool when to come back. */
+    /** Returns the retry delay estimator of a pool. */
     ComeBack comeBack(String pool) {
         return mComeBack.computeIfAbsent(pool, p -> ComeBack.since(now()));
     }
 
-    /** Returns the share of a pool's requests that fail. */
+    /** Returns the error rate of a pool. */
     ErrorRate errorRate(String pool) {
         return mErrorRates.computeIfAbsent(pool, p -> new ErrorRate());
     }
 
-    /** Returns what runs tasks later. */
     Timer timer() {
         return mTimer;
     }
 
-    /** Returns the watch on the event loop. */
     EventLoopLag loopLag() {
         return mLoopLag;
     }
 
-    HeaderCodec protocol() {
-        return mProtocol;
+    HeaderCodec headerCodec() {
+        return mHeaderCodec;
     }
 
     Knowledge knowledge() {
@@ -149,15 +145,14 @@
         return mSelectors;
     }
 
-    void setSelectors(Selectors placing) {
-        mSelectors = placing;
+    void setSelectors(Selectors selectors) {
+        mSelectors = selectors;
     }
 
     ColdGate coldGate() {
         return mColdGate;
     }
 
-    /** Returns what finds out which targets have ended, and under which requests. */
     CrashDetector crashDetector() {
         return mCrashDetector;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
@@ -31,35 +31,39 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Takes callers' requests and has them run by targets. All state is on the event loop.
+ * Accepts requests from callers and forwards them to targets. All state is confined to the event
+ * loop.
  *
  * @since 0.2
  */
 public final class RouterService implements Service {
-    /** Name of the service. */
+    /** Service name. */
     public static final String NAME = "router";
 
-    /** Deadlines and silent targets are looked for so often. */
+    /** Interval of the checks for deadlines and stalled attempts. */
     private static final long TICK_MILLIS = ArrivalTracker.ITERATION_MILLIS;
 
-    /** Connections are looked through so often. */
+    /** Interval of the cleanup of stale connections. */
     private static final long CLEANUP_MILLIS = 500;
 
-    /** The balancer has noticed by then that this router takes no new connections. */
+    /** Time for the balancer to detect that this router is not ready any more. */
     private static final long BALANCER_DETECTION_MILLIS = 2_600;
 
-    /** The process ends so long before it would be killed. */
+    /** Time reserved to exit before the process would be killed. */
     private static final long STOP_MARGIN_MILLIS = 400;
 
-    /** Share of the pool's mean that a home may carry before requests spill. Origin: rounds. */
+    /**
+     * Load of a home target, relative to the maximum load ratio, above which requests spill over to
+     * other targets.
+     */
     private static final double HOME_LOAD_FACTOR = 1.0;
 
     private static final int HOME_EXTRA_REQUESTS = 2;
 
-    /** Routers reckoned with at least when what all may use is divided: some may not be known. */
+    /** Minimum number of routers assumed when dividing shared limits, as some may be unknown. */
     private static final int MIN_ROUTER_COUNT = 4;
 
-    /** Part of the repeats allowed besides a share that is used; one router may be unknown. */
+    /** Share of the retry allowance in use, as a router may be unknown. */
     private static final double USED_ALLOWANCE_SHARE = 0.7;
 
     private final EventLoop mLoop;
@@ -81,7 +85,7 @@
                 RouterContext.of(
                         new RouterContext.Parts(
                                 clock,
-                                p.protocol(),
+                                p.headerCodec(),
                                 p.knowledge(),
                                 new TargetConnections(Connector.of(loop), clock),
                                 new RouterContext.Selectors(
@@ -91,7 +95,7 @@
                                         HomeRegions.of(settings.regions())),
                                 ColdGate.of(p.knowledge()::shareFor, mBounds.coldOvershoot()),
                                 new RetryBudgets(retryBounds(mBounds), this::routerCount),
-                                new ResponseFactory(p.protocol(), p.random()),
+                                new ResponseFactory(p.headerCodec(), p.random()),
                                 new RequestMeters(),
                                 new ArrivalTracker(clock, p.listener().openedMillis(clock)),
                                 loopScheduler(loop),
@@ -108,7 +112,10 @@
 
             @Override
             public void runNextIteration(Runnable task) {
-                loop.schedule(task, 0, TimeUnit.MILLISECONDS); // looked for once a turn
+                loop.schedule(
+                        task,
+                        0,
+                        TimeUnit.MILLISECONDS); // scheduled tasks are polled once per iteration
             }
         };
     }
@@ -127,14 +134,14 @@
     }
 
     /**
-     * Holds what a router works with.
+     * Components of a router.
      *
-     * @param listener where callers connect
+     * @param listener the socket on which callers connect
      */
     public record Parts(
             EarlyServerSocket listener,
             Knowledge knowledge,
-            HeaderCodec protocol,
+            HeaderCodec headerCodec,
             RandomGenerator random) {}
 
     /** Creates the service. */
@@ -143,7 +150,7 @@
         return new RouterService(loop, clock, settings, parts);
     }
 
-    // ---------------------------------------------------------------- life-cycle
+    // ---------------------------------------------------------------- lifecycle
 
     @Override
     public String name() {
@@ -167,9 +174,9 @@
     }
 
     /**
-     * Stops without cutting a request: answers end their connections, idle ones are closed once the
-     * balancer sends no new callers, and the process goes on until the last answer is out or the
-     * time given is over.
+     * Shuts down gracefully: responses close their connections, idle connections are closed once
+     * the balancer sends no new callers, and the future completes after the last response or at the
+     * shutdown timeout.
      */
     @Override
     public CompletableFuture<Void> stop() {
@@ -186,7 +193,7 @@
         return stopped;
     }
 
-    /** Puts other bounds in force; requests under way keep what was decided on them. */
+    /** Replaces the limits; active requests keep earlier decisions. */
     public void reload(RouterSettings.Bounds bounds) {
         mLoop.execute(
                 () -> {
@@ -198,17 +205,17 @@
                 });
     }
 
-    /** Returns what was decided on the latest requests; read on the event loop. */
+    /** Returns the decision log; read it on the event loop. */
     public DecisionLog decisions() {
         return mContext.decisions();
     }
 
-    /** Returns the counts, to be bound to a registry on the event loop. */
+    /** Returns the meters; bind them on the event loop. */
     public MeterBinder meters() {
         return mContext.meters();
     }
 
-    /** Returns whether the balancer should send callers here. */
+    /** Returns whether the router is ready for callers. */
     public boolean isReady() {
         return !mContext.isDraining() && mKnowledge.isComplete();
     }
@@ -244,7 +251,7 @@
         return m;
     }
 
-    // ---------------------------------------------------------------- time
+    // ---------------------------------------------------------------- periodic tasks
 
     private void tick() {
         long now = mContext.now();
@@ -277,14 +284,14 @@
     }
 
     private void continueDraining(long now) {
-        long since = now - mDrainStartMillis;
-        if (since < BALANCER_DETECTION_MILLIS) {
+        long elapsed = now - mDrainStartMillis;
+        if (elapsed < BALANCER_DETECTION_MILLIS) {
             return;
         }
         mServer.closeListener();
         List.copyOf(mContext.connections()).forEach(CallerConnection::closeIfIdle);
         boolean busy = mContext.connections().stream().anyMatch(CallerConnection::isBusy);
-        boolean late = since > mBounds.shutdownMillis() - STOP_MARGIN_MILLIS;
+        boolean late = elapsed > mBounds.shutdownMillis() - STOP_MARGIN_MILLIS;
         if (busy && !late) {
             return;
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetConnections.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetConnections.java
@@ -12,12 +12,12 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Keeps the connections to targets, a pool for each start of a target. */
+/** Connection pools by target instance. Used on the event loop. */
 final class TargetConnections {
-    /** Share of a target's connections that all routers together use. */
+    /** Share of a target's connection limit that all routers together use. */
     private static final double USED_SHARE = 0.9;
 
-    /** Idle connections are kept no longer than this. Origin: measured rounds. */
+    /** Maximum idle time of a connection. */
     private static final long MAX_IDLE_MILLIS = 10_000;
 
     private final Connector mConnector;
@@ -29,23 +29,23 @@
         mClock = clock;
     }
 
-    /** Returns the connections to a target. */
+    /** Returns the connection pool of a target. */
     ConnectionPool pool(Target t) {
         return mPools.computeIfAbsent(
                 t.start(), s -> ConnectionPool.of(mConnector, mClock, t.entry().address()));
     }
 
-    /** Sets each target's limit to this router's share of what the target takes. */
+    /** Limits the connections to a target to this router's share of the target's limit. */
     void setLimit(Target t, Optional<Pool> pool, int routers) {
-        int all = pool.map(Pool::maxConnections).orElse(0);
-        if (all > 0) {
-            pool(t).setLimit(Math.max(2, (int) (USED_SHARE * all / Math.max(1, routers))));
+        int max = pool.map(Pool::maxConnections).orElse(0);
+        if (max > 0) {
+            pool(t).setLimit(Math.max(2, (int) (USED_SHARE * max / Math.max(1, routers))));
         }
     }
 
     /**
-     * Closes connections that are idle for long, all idle ones to targets that leave, and those to
-     * targets that are not known.
+     * Closes connections that were idle for too long, all idle connections to leaving targets, and
+     * all idle connections to unknown targets.
      */
     void closeUnused(Map<TargetStart, Target> known) {
         Iterator<Map.Entry<TargetStart, ConnectionPool>> i = mPools.entrySet().iterator();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
@@ -18,8 +18,8 @@
 import java.util.Set;
 
 /**
- * Chooses the targets of one request, and where a target copies a prompt from that it has not read.
- * Used on the event loop.
+ * Selects targets for the attempts of one request, and the target from which a prompt can be
+ * copied. Used on the event loop.
  */
 final class TargetSelection {
     private final RouterContext mContext;
@@ -37,22 +37,24 @@
         mSharedTokens = prompt.map(Prompt::sharedTokens).orElse(0L);
     }
 
-    /** Returns what the choice is made by. */
+    /** Returns the selection key. */
     String key() {
         return mKey;
     }
 
-    /** Returns the tokens of the prompt that other requests share. */
+    /** Returns the number of prompt tokens shared with other requests. */
     long sharedTokens() {
         return mSharedTokens;
     }
 
-    /** Returns the target that the last request was told to copy the prompt from. */
+    /**
+     * Returns the address of the target from which the last attempt was told to copy the prompt.
+     */
     Optional<String> copySource() {
         return mCopySource;
     }
 
-    /** Chooses a target that this request was not sent to yet. */
+    /** Selects a target that the request was not yet sent to. */
     Optional<Pick> selectNext(Admission admission) {
         long now = mContext.now();
         String pool = admission.pool();
@@ -70,7 +72,7 @@
         return pick;
     }
 
-    /** Returns the targets of a request's pool in the regions that it may go to. */
+    /** Returns the targets of the request's pool in the allowed regions. */
     private List<Target> allowedTargets(Admission a) {
         List<Target> pool = mContext.knowledge().targets().pool(a.pool());
         return mContext.selectors().homeRegions().allowed(pool, a.route(), a.team());
@@ -95,9 +97,9 @@
     }
 
     /**
-     * Says why there is no target that this request could be sent to.
+     * Returns why no target is available.
      *
-     * @param holdsOff whether one is known to want work again, and none does now
+     * @param holdsOff whether a target is holding off requests and will accept them again
      */
     String unavailableReason(Admission admission, boolean holdsOff) {
         long now = mContext.now();
@@ -116,8 +118,8 @@
     }
 
     /**
-     * Returns in how many milliseconds the first target that a request may go to wants work again;
-     * empty if one does now, or none is known to.
+     * Returns the time in milliseconds until the first allowed target accepts requests again; empty
+     * if one accepts them now or none is expected to.
      */
     OptionalLong availableInMillis(Admission admission) {
         long now = mContext.now();
@@ -140,7 +142,7 @@
         return engine ? mContext.selectors().enginePicker() : mContext.selectors().servicePicker();
     }
 
-    /** Finds a target from which this one can copy the prompt it is not likely to have. */
+    /** Returns the address of a target that is likely to hold the prompt, if this target is not. */
     Optional<String> copyFrom(Target t, String pool) {
         if (mSharedTokens == 0) {
             return Optional.empty();
@@ -154,12 +156,12 @@
         return mCopySource;
     }
 
-    /** Lets the request go once more to targets that it was sent to. */
+    /** Allows targets to be selected again that the request was already sent to. */
     void clearTried() {
         mTried.clear();
     }
 
-    /** Notes that a target has read the prompt. */
+    /** Records that a target has processed the prompt. */
     void onAnswered(String pool, Target t) {
         if (mSharedTokens > 0) {
             mContext.knowledge().onAnswered(pool, mKeyHash, t);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/package-info.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/package-info.java
@@ -1,2 +1,2 @@
-/** The way of one request from the caller to its final answer. */
+/** Request processing from the caller's connection to the final response. */
 package org.forkseam.direct.flow;
--- a/forkseam-direct/src/test/java/org/forkseam/direct/flow/ArrivalTrackerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/flow/ArrivalTrackerTest.java
@@ -11,54 +11,54 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Tests what is believed of the time at which requests came. */
+/** Tests the estimation of arrival times after event loop stalls. */
 class ArrivalTrackerTest {
     private long mNow = 1_000;
-    private final ArrivalTracker mArrivals = new ArrivalTracker(() -> mNow, 1_000);
+    private final ArrivalTracker mTracker = new ArrivalTracker(() -> mNow, 1_000);
 
     @Test
-    void aRouterThatKeepsUpTakesWhatItReadsForNew() {
+    void arrivalWithoutStallIsNow() {
         mNow += 50;
-        Arrival a = mArrivals.next();
+        Arrival a = mTracker.next();
         assertThat(a.millis()).isEqualTo(1_050);
         assertThat(a.wasDelayed()).isFalse();
     }
 
     @Test
-    void whatWaitedForAStartIsSpreadOverTheTimeSinceCallersCouldConnect() {
+    void arrivalsDuringStartAreSpreadEvenly() {
         mNow += 800;
-        Arrival first = mArrivals.next();
-        Arrival second = mArrivals.next();
+        Arrival first = mTracker.next();
+        Arrival second = mTracker.next();
         assertThat(first.wasDelayed()).isTrue();
         assertThat(first.millis()).isEqualTo(1_200);
         assertThat(second.millis()).isEqualTo(1_600);
     }
 
     @Test
-    void aTurnThatReadEverythingEndsTheGap() {
+    void stallEndsWhenReadsAreDrained() {
         mNow += 800;
-        mArrivals.next();
-        mArrivals.onReadsDrained();
+        mTracker.next();
+        mTracker.onReadsDrained();
         mNow += 10;
-        assertThat(mArrivals.next().wasDelayed()).isFalse();
+        assertThat(mTracker.next().wasDelayed()).isFalse();
     }
 
-    /** Whatever the gap: arrivals lie within it, in the order of reading. */
+    /** Estimated arrival times lie within the stall and keep the read order. */
     @Property(seed = "4721")
-    void arrivalsLieWithinTheGapInOrder(
-            @ForAll @IntRange(min = 101, max = 60_000) int gap,
+    void arrivalsLieWithinTheStallInOrder(
+            @ForAll @IntRange(min = 101, max = 60_000) int stallMillis,
             @ForAll @IntRange(min = 1, max = 300) int count) {
         long[] now = {0};
-        ArrivalTracker arrivals = new ArrivalTracker(() -> now[0], 0);
-        now[0] = gap;
+        ArrivalTracker tracker = new ArrivalTracker(() -> now[0], 0);
+        now[0] = stallMillis;
         List<Arrival> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(arrivals.next());
+            all.add(tracker.next());
         }
         long before = 0;
         for (Arrival a : all) {
             assertThat(a.millis()).isAtLeast(before);
-            assertThat(a.millis()).isAtMost((long) gap);
+            assertThat(a.millis()).isAtMost((long) stallMillis);
             before = a.millis();
         }
     }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/flow/EventLoopLagTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/flow/EventLoopLagTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests when a loop counts as behind. */
+/** Tests the detection of an overloaded event loop. */
 class EventLoopLagTest {
     private long mNow = 1_000;
     private final EventLoopLag mLag = new EventLoopLag(40, mNow);
@@ -17,14 +17,14 @@
     }
 
     @Test
-    void aRouterThatStartsIsBehindUntilItsTicksArePunctual() {
+    void startsOverloadedUntilTicksAreOnTime() {
         assertThat(mLag.isOverloaded()).isTrue();
         ticks(3, 0);
         assertThat(mLag.isOverloaded()).isFalse();
     }
 
     @Test
-    void lateTicksShowALoopThatIsBehind() {
+    void lateTicksIndicateOverload() {
         ticks(10, 0);
         ticks(3, 15);
         assertThat(mLag.isOverloaded()).isTrue();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void oneTickThatIsALittleLateShowsNothing() {
+    void singleLateTickIsIgnored() {
         ticks(10, 0);
         ticks(1, 10);
         assertThat(mLag.isOverloaded()).isFalse();
--- a/forkseam-direct/src/test/java/org/forkseam/direct/flow/RequestQueueTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/flow/RequestQueueTest.java
@@ -9,33 +9,33 @@
 import java.util.Deque;
 import java.util.List;
 
-/** Tests when requests are begun, on a loop and a clock that the tests turn. */
+/** Tests the dispatch of queued requests with a simulated event loop and clock. */
 class RequestQueueTest {
     private long mNow = 10_000;
-    private final Deque<Runnable> mThisTurn = new ArrayDeque<>();
-    private final Deque<Runnable> mNextTurn = new ArrayDeque<>();
-    private final List<String> mBegun = new ArrayList<>();
-    private final ArrivalTracker mArrivals = new ArrivalTracker(() -> mNow, 10_000);
-    private final RequestQueue mIntake =
+    private final Deque<Runnable> mThisIteration = new ArrayDeque<>();
+    private final Deque<Runnable> mNextIteration = new ArrayDeque<>();
+    private final List<String> mDispatched = new ArrayList<>();
+    private final ArrivalTracker mArrivalTracker = new ArrivalTracker(() -> mNow, 10_000);
+    private final RequestQueue mQueue =
             new RequestQueue(
                     () -> mNow,
-                    mArrivals,
+                    mArrivalTracker,
                     new RequestQueue.LoopScheduler() {
                         @Override
                         public void runThisIteration(Runnable task) {
-                            mThisTurn.add(task);
+                            mThisIteration.add(task);
                         }
 
                         @Override
                         public void runNextIteration(Runnable task) {
-                            mNextTurn.add(task);
+                            mNextIteration.add(task);
                         }
                     });
 
-    private long mBeginCosts;
-    private boolean mKnows = true;
+    private long mDispatchMillis;
+    private boolean mConfigured = true;
 
-    /** Is a request that writes down when it is begun. */
+    /** A request that records its dispatch. */
     private final class Request implements RequestQueue.QueuedRequest {
         private final String mName;
         private final Arrival mArrival;
@@ -43,7 +43,7 @@
 
         Request(String name) {
             mName = name;
-            mArrival = mArrivals.next();
+            mArrival = mArrivalTracker.next();
         }
 
         @Override
@@ -53,7 +53,7 @@
 
         @Override
         public RequestQueue.Readiness prepare() {
-            return mKnows ? RequestQueue.Readiness.READY : RequestQueue.Readiness.NOT_YET;
+            return mConfigured ? RequestQueue.Readiness.READY : RequestQueue.Readiness.NOT_YET;
         }
 
         @Override
@@ -63,103 +63,103 @@
 
         @Override
         public void dispatch() {
-            mBegun.add(mName);
-            mNow += mBeginCosts;
+            mDispatched.add(mName);
+            mNow += mDispatchMillis;
         }
     }
 
     private Request read(String name) {
         Request r = new Request(name);
-        mIntake.enqueue(r);
+        mQueue.enqueue(r);
         return r;
     }
 
-    /** Runs one turn of the loop: what was planned for it, and nothing that it plans for later. */
-    private void turn() {
-        mThisTurn.addAll(mNextTurn);
-        mNextTurn.clear();
-        while (!mThisTurn.isEmpty()) {
-            mThisTurn.poll().run();
+    /** Runs one loop iteration. */
+    private void runIteration() {
+        mThisIteration.addAll(mNextIteration);
+        mNextIteration.clear();
+        while (!mThisIteration.isEmpty()) {
+            mThisIteration.poll().run();
         }
     }
 
     @Test
-    void aRequestIsBegunInTheTurnInWhichItIsRead() {
+    void requestIsDispatchedInTheIterationInWhichItIsRead() {
         read("a");
-        turn();
-        assertThat(mBegun).containsExactly("a");
-        assertThat(mNextTurn).isEmpty();
+        runIteration();
+        assertThat(mDispatched).containsExactly("a");
+        assertThat(mNextIteration).isEmpty();
     }
 
-    /** After a start, what has waited is begun in the order in which it came. */
+    /** Requests that waited during a stall are dispatched in arrival order. */
     @Test
-    void whatHasWaitedIsBegunInOrder() {
+    void delayedRequestsAreDispatchedInOrder() {
         mNow += 2_000;
         for (int i = 0; i < 10; i++) {
             read("r" + i);
         }
-        turn();
-        assertThat(mBegun).isEmpty(); // whether their callers are there is seen in the next turn
-        turn();
-        assertThat(mBegun).hasSize(10);
-        assertThat(mBegun).containsAtLeast("r0", "r1", "r9").inOrder();
+        runIteration();
+        assertThat(mDispatched).isEmpty(); // disconnects are read in the next iteration
+        runIteration();
+        assertThat(mDispatched).hasSize(10);
+        assertThat(mDispatched).containsAtLeast("r0", "r1", "r9").inOrder();
     }
 
-    /** A caller that left while its request waited unread: nothing is begun for it. */
+    /** A request whose caller disconnected during a stall is not dispatched. */
     @Test
-    void aCallerThatLeftMeanwhileIsSeenBeforeItsRequestIsBegun() {
+    void disconnectIsDetectedBeforeDispatch() {
         mNow += 700;
-        Request r = read("gone");
-        turn();
-        assertThat(mBegun).isEmpty();
-        r.mDone = true; // its close is read in the next turn, before the requests are begun
-        turn();
-        turn();
-        assertThat(mBegun).isEmpty();
-        assertThat(mIntake.size()).isEqualTo(0);
+        Request r = read("disconnected");
+        runIteration();
+        assertThat(mDispatched).isEmpty();
+        r.mDone = true; // the disconnect is read in the next iteration, before the dispatch
+        runIteration();
+        runIteration();
+        assertThat(mDispatched).isEmpty();
+        assertThat(mQueue.size()).isEqualTo(0);
     }
 
-    /** A tick in the turn in which a request was read knows no more of its caller. */
+    /** A tick must not dispatch a request before a disconnect could be read. */
     @Test
-    void aTickBeginsNothingWhoseCallerMayHaveLeft() {
+    void tickDoesNotDispatchBeforeDisconnectCheck() {
         mNow += 700;
-        read("maybe gone");
-        mThisTurn.add(() -> mIntake.onTick());
-        turn();
-        mIntake.onTick();
-        assertThat(mBegun).isEmpty();
-        turn();
-        mIntake.onTick();
-        assertThat(mBegun).containsExactly("maybe gone");
+        read("maybe disconnected");
+        mThisIteration.add(() -> mQueue.onTick());
+        runIteration();
+        mQueue.onTick();
+        assertThat(mDispatched).isEmpty();
+        runIteration();
+        mQueue.onTick();
+        assertThat(mDispatched).containsExactly("maybe disconnected");
     }
 
-    /** Beginning costs time: the loop goes back to reading in between. */
+    /** Slow dispatches are split into batches with reads in between. */
     @Test
-    void theLoopReadsBetweenBatches() {
-        mBeginCosts = 3;
+    void loopReadsBetweenBatches() {
+        mDispatchMillis = 3;
         for (int i = 0; i < 6; i++) {
             read("r" + i);
         }
-        turn();
-        assertThat(mBegun.size()).isLessThan(6);
-        assertThat(mNextTurn).hasSize(1);
-        while (!mNextTurn.isEmpty()) {
-            turn();
+        runIteration();
+        assertThat(mDispatched.size()).isLessThan(6);
+        assertThat(mNextIteration).hasSize(1);
+        while (!mNextIteration.isEmpty()) {
+            runIteration();
         }
-        assertThat(mBegun).hasSize(6);
+        assertThat(mDispatched).hasSize(6);
     }
 
-    /** A router without knowledge does not spin; it looks again at its ticks. */
+    /** Without a configuration, requests are checked on ticks and not in a busy loop. */
     @Test
-    void whatWaitsForKnowledgeIsLookedAtByTicks() {
-        mKnows = false;
+    void requestsWaitingForConfigurationAreDispatchedOnTicks() {
+        mConfigured = false;
         read("a");
-        turn();
-        assertThat(mBegun).isEmpty();
-        assertThat(mNextTurn).isEmpty();
-        mKnows = true;
-        mIntake.onTick();
-        turn();
-        assertThat(mBegun).containsExactly("a");
+        runIteration();
+        assertThat(mDispatched).isEmpty();
+        assertThat(mNextIteration).isEmpty();
+        mConfigured = true;
+        mQueue.onTick();
+        runIteration();
+        assertThat(mDispatched).containsExactly("a");
     }
 }
