--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/Addresses.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/Addresses.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads addresses of the form IP:PORT without a name look-up. */
+/** Parses socket addresses of the form IP:PORT without a name lookup. Stateless. */
 public final class Addresses {
     private static final int PARTS = 4;
     private static final int MAX_BYTE = 255;
@@ -13,9 +13,9 @@
     private Addresses() {}
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
-     * @throws IllegalArgumentException if it is not four numbers, a colon and a port
+     * @throws IllegalArgumentException if the text is not an IPv4 address and a port
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -25,9 +25,9 @@
         }
         byte[] ip = new byte[PARTS];
         for (int i = 0; i < PARTS; i++) {
-            ip[i] = (byte) number(parts[i], MAX_BYTE, text);
+            ip[i] = (byte) parseNumber(parts[i], MAX_BYTE, text);
         }
-        int port = number(text.substring(colon + 1), MAX_PORT, text);
+        int port = parseNumber(text.substring(colon + 1), MAX_PORT, text);
         try {
             return new InetSocketAddress(InetAddress.getByAddress(ip), port);
         } catch (UnknownHostException e) {
@@ -35,7 +35,7 @@
         }
     }
 
-    private static int number(String digits, int max, String text) {
+    private static int parseNumber(String digits, int max, String text) {
         try {
             int n = Integer.parseInt(digits);
             if (n >= 0 && n <= max) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/Buffers.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/Buffers.java
@@ -3,11 +3,13 @@
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.PooledByteBufAllocator;
 
-/** Holds the allocator of all sockets: one small arena, since one thread does all the work. */
+/**
+ * Provides the buffer allocator of all sockets. It has a single arena, as one thread does all I/O.
+ */
 public final class Buffers {
     private static final int PAGE_BYTES = 8192;
 
-    /** Chunks of 256 KB: a router's sockets rarely hold more at a time. */
+    /** Yields chunks of 256 KB. */
     private static final int CHUNK_ORDER = 5;
 
     private static final ByteBufAllocator ALLOCATOR =
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/ChunkEncoder.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/ChunkEncoder.java
@@ -5,11 +5,10 @@
 import io.netty.buffer.ByteBufUtil;
 
 /**
- * Frames parts of a body as chunks (RFC 9112, 7.1), each in one buffer.
+ * Encodes parts of a body as chunks (RFC 9112, 7.1), each in a single buffer. Stateless.
  *
- * <p>The HTTP codec writes a chunk as three messages. Events of streams are most of what a router
- * writes, and in a process that has just started, whose code is still interpreted, the codec's way
- * took 14 to 18% of the event loop's processor time, sampled over 800 requests.
+ * <p>Netty's HTTP codec writes three messages per chunk, which is costly for event streams while
+ * the code is still interpreted after a start.
  *
  * @since 0.3
  */
@@ -19,7 +18,7 @@
 
     private ChunkEncoder() {}
 
-    /** Returns a buffer that holds the part as one chunk; the part is released. */
+    /** Encodes a part as one chunk and releases the part. */
     public static ByteBuf encode(ByteBufAllocator allocator, ByteBuf part) {
         int length = part.readableBytes();
         ByteBuf chunk = allocator.directBuffer(length + MAX_FRAMING_BYTES);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/ConnectionCallback.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/ConnectionCallback.java
@@ -1,10 +1,10 @@
 package org.forkseam.direct.io;
 
-/** Waits for a connection. Called on the event loop, once. */
+/** Receives a connection or a failure. Called once, on the event loop. */
 public interface ConnectionCallback {
-    /** Takes a connection. */
+    /** Called with the connection. */
     void onConnection(HttpConnection connection);
 
-    /** Tells that there is none. */
-    void onConnectionFailed(ExchangeFailure kind, String detail);
+    /** Called when no connection is available. */
+    void onConnectionFailed(ExchangeFailure failure, String detail);
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/ConnectionPool.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/ConnectionPool.java
@@ -7,8 +7,8 @@
 import java.util.Iterator;
 
 /**
- * Keeps the connections to one address. The one used last is used next, so that few stay warm. Used
- * on the event loop.
+ * Pool of connections to one address. The most recently used connection is reused first. Used on
+ * the event loop.
  *
  * @since 0.2
  */
@@ -27,52 +27,53 @@
         mAddress = address;
     }
 
-    /** Creates a pool without a connection. */
+    /** Creates an empty pool. */
     public static ConnectionPool of(Connector connector, Clock clock, String address) {
         return new ConnectionPool(connector, clock, address);
     }
 
-    /** Sets the most connections it may hold. */
+    /** Sets the maximum number of connections. */
     public void setLimit(int limit) {
         mLimit = limit;
     }
 
-    /** Returns the connections open or coming up. */
+    /** Returns the number of open and connecting connections. */
     public int openCount() {
         return mOpenCount;
     }
 
     /**
-     * Brings a connection.
+     * Acquires an idle connection, or opens one.
      *
-     * @param maxIdleMillis one that has been idle for longer is not used
+     * @param maxIdleMillis connections that were idle for longer are closed instead
      */
-    public void acquire(long maxIdleMillis, ConnectionCallback user) {
+    public void acquire(long maxIdleMillis, ConnectionCallback callback) {
         long now = mClock.nowMillis();
         while (!mIdle.isEmpty()) {
             HttpConnection c = mIdle.pollFirst();
             if (c.isUsable() && c.idleMillis(now) < Math.min(maxIdleMillis, c.maxIdleMillis())) {
-                user.onConnection(c);
+                callback.onConnection(c);
                 return;
             }
             c.close();
         }
         if (mOpenCount >= mLimit) {
-            user.onConnectionFailed(
-                    ExchangeFailure.NO_CONNECTION_FREE, mOpenCount + " connections open");
+            callback.onConnectionFailed(
+                    ExchangeFailure.NO_CONNECTION_FREE,
+                    mOpenCount + " connections open, limit reached");
             return;
         }
-        openReplacement(user);
+        openReplacement(callback);
     }
 
     /**
-     * Brings a connection that is opened anew in the place of one that has just broken, which may
-     * still count as open: whatever idle ones and whatever limit there are.
+     * Opens a connection regardless of idle connections and the limit, to replace a broken one that
+     * may still count as open.
      */
-    public void openReplacement(ConnectionCallback user) {
+    public void openReplacement(ConnectionCallback callback) {
         mOpenCount++;
         HttpConnection c = new HttpConnection(this);
-        mConnector.connect(mAddress, c, user, this::onConnectFailed);
+        mConnector.connect(mAddress, c, callback, this::onConnectFailed);
     }
 
     private void onConnectFailed() {
@@ -93,7 +94,10 @@
         mIdle.remove(c);
     }
 
-    /** Closes connections that have been idle for longer than their server keeps them. */
+    /**
+     * Closes connections that were idle for longer than {@code maxIdleMillis} or the server's
+     * keep-alive time.
+     */
     public void closeIdle(long maxIdleMillis) {
         long now = mClock.nowMillis();
         Iterator<HttpConnection> i = mIdle.descendingIterator();
@@ -107,14 +111,14 @@
     }
 
     /**
-     * Closes the connections that have been idle since a moment: one that was used then has gone
-     * silent, and whatever cut it off without a word is likely to have cut those off too.
+     * Closes the connections that have been idle since the given time. Called when another
+     * connection used then has become silent, as the same network fault may affect them.
      */
-    public void closeIdleSince(long millis) {
-        closeIdle(mClock.nowMillis() - millis);
+    public void closeIdleSince(long sinceMillis) {
+        closeIdle(mClock.nowMillis() - sinceMillis);
     }
 
-    /** Closes all idle connections; those in use are closed when given back. */
+    /** Closes all idle connections; active ones are closed on release. */
     public void close() {
         mClosed = true;
         while (!mIdle.isEmpty()) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/Connector.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/Connector.java
@@ -13,12 +13,12 @@
 import java.net.ConnectException;
 
 /**
- * Opens connections to HTTP servers by IP number.
+ * Opens connections to HTTP servers by IP address. Used on the event loop.
  *
  * @since 0.2
  */
 public final class Connector {
-    /** Hosts are a few milliseconds apart, so a longer wait means a dead host or a lost packet. */
+    /** Connect timeout; hosts are a few milliseconds apart. */
     public static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     private static final int MAX_HEADER_BYTES = 32_768;
@@ -41,12 +41,12 @@
         return new Connector(group);
     }
 
-    /** Returns the connections that came up since the start. */
+    /** Returns the number of connections opened since the start. */
     public long openedCount() {
         return mOpenedCount;
     }
 
-    void connect(String address, HttpConnection c, ConnectionCallback user, Runnable failed) {
+    void connect(String address, HttpConnection c, ConnectionCallback callback, Runnable onFailed) {
         Bootstrap b = mBootstrap.clone();
         b.handler(
                 new ChannelInitializer<Channel>() {
@@ -60,10 +60,10 @@
                         f -> {
                             if (f.isSuccess()) {
                                 mOpenedCount++;
-                                user.onConnection(c);
+                                callback.onConnection(c);
                             } else {
-                                failed.run();
-                                user.onConnectionFailed(
+                                onFailed.run();
+                                callback.onConnectionFailed(
                                         failureOf(f.cause()), String.valueOf(f.cause()));
                             }
                         });
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/EarlyServerSocket.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/EarlyServerSocket.java
@@ -18,16 +18,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Is a listening socket that is opened before anything else of a router is loaded. Connections that
- * come meanwhile wait in the socket's queue instead of being refused, and are served as soon as the
- * router is up.
+ * A listening socket that is opened before the rest of the router is loaded, so that early
+ * connections queue in the backlog instead of being refused.
  *
  * @since 0.3
  */
 public final class EarlyServerSocket {
     private static final int BACKLOG = 1024;
 
-    /** Connections taken in one turn of the event loop: all that can have queued up. */
+    /** Connections accepted per loop iteration: up to the whole backlog. */
     private static final int MAX_ACCEPTS_PER_READ = BACKLOG;
 
     private final ServerSocketChannel mSocket;
@@ -38,9 +37,9 @@
     }
 
     /**
-     * Listens at once.
+     * Opens the socket.
      *
-     * @throws IOException if the address cannot be listened on
+     * @throws IOException if the address cannot be bound
      */
     public static EarlyServerSocket open(InetSocketAddress address) throws IOException {
         ServerSocketChannel socket = ServerSocketChannel.open();
@@ -49,19 +48,19 @@
         return new EarlyServerSocket(socket);
     }
 
-    /** Returns where it listens. */
+    /** Returns the bound address. */
     public InetSocketAddress address() {
         return new InetSocketAddress(
                 mSocket.socket().getInetAddress(), mSocket.socket().getLocalPort());
     }
 
-    /** Returns since when callers can connect, by a clock that was running then. */
+    /** Returns the time when the socket was opened, by the given clock. */
     public long openedMillis(Clock clock) {
         long ago = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - mOpenedNanos);
         return clock.nowMillis() - ago;
     }
 
-    /** Hands the socket to an event loop, which takes in what has queued up. */
+    /** Registers the socket with an event loop, which accepts the queued connections. */
     public CompletableFuture<Channel> serve(
             EventLoopGroup group, ChannelInitializer<Channel> connections) {
         CompletableFuture<Channel> serving = new CompletableFuture<>();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/EventSplitter.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/EventSplitter.java
@@ -9,10 +9,11 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of server-sent events at the events' borders, and remembers the last id passed.
+ * Splits a stream of server-sent events at event boundaries and keeps the last event id. Used on
+ * the event loop.
  *
- * <p>Bytes of an event that is not whole are held back, so that a stream which breaks off can be
- * continued without a torn event. Used on the event loop.
+ * <p>Bytes of an incomplete event are held back, so that an interrupted stream can be resumed after
+ * the last complete event.
  *
  * @since 0.2
  */
@@ -26,12 +27,12 @@
 
     private EventSplitter() {}
 
-    /** Creates a splitter at the beginning of a stream. */
+    /** Creates a splitter for a new stream. */
     public static EventSplitter create() {
         return new EventSplitter();
     }
 
-    /** Takes bytes in. */
+    /** Adds received bytes. */
     public void add(ByteBuf bytes) {
         byte[] b = ByteBufUtil.getBytes(bytes);
         mBuffered = mBuffered.length == 0 ? b : joined(mBuffered, b);
@@ -43,13 +44,13 @@
         return both;
     }
 
-    /** Returns the whole events that have come since the last call; maybe none. */
+    /** Returns the complete events received since the last call; may be empty. */
     public ByteBuf takeCompleteEvents() {
         int end = endOfLastEvent(mBuffered);
         if (end == 0) {
             return Unpooled.EMPTY_BUFFER;
         }
-        // Mostly all bytes are whole events: then they are passed on without another copy.
+        // Avoid another copy in the usual case of complete events only.
         mLastTaken = end == mBuffered.length ? mBuffered : Arrays.copyOf(mBuffered, end);
         mBuffered =
                 end == mBuffered.length
@@ -73,12 +74,12 @@
         return 0;
     }
 
-    /** Returns whether bytes of an unfinished event are held back. */
+    /** Returns whether an incomplete event is buffered. */
     public boolean hasPartialEvent() {
         return mBuffered.length > 0;
     }
 
-    /** Returns the id of the last whole event passed. */
+    /** Returns the id of the last event returned by {@link #takeCompleteEvents}. */
     public Optional<String> lastEventId() {
         String[] lines = new String(mLastTaken, StandardCharsets.UTF_8).split("\r?\n");
         for (int i = lines.length - 1; i >= 0; i--) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/ExchangeFailure.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/ExchangeFailure.java
@@ -1,18 +1,18 @@
 package org.forkseam.direct.io;
 
-/** Says how an exchange with a target ended without a whole answer. */
+/** Reason why an exchange with a target ended without a complete response. */
 public enum ExchangeFailure {
-    /** No connection came up; no byte of the request was sent. */
+    /** Connecting failed; nothing was sent. */
     UNREACHABLE,
-    /** The host answers that nobody listens at the address; no byte was sent. */
+    /** The connection was refused, as no process listens at the address; nothing was sent. */
     NOBODY_LISTENS,
-    /** The target takes no further connection of this router; no byte was sent. */
+    /** This router's connection limit for the target is reached; nothing was sent. */
     NO_CONNECTION_FREE,
-    /** The connection ended before the answer was whole. */
+    /** The connection closed before the response was complete. */
     CLOSED,
     /** The connection was reset. */
     RESET,
-    /** What came is no answer in the protocol. */
+    /** The response was malformed. */
     MALFORMED;
 
     /** Returns whether the target may have run the request. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/HttpConnection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/HttpConnection.java
@@ -17,10 +17,10 @@
 import java.util.function.Predicate;
 
 /**
- * Is one connection to an HTTP server, with one exchange at a time.
+ * A connection to an HTTP server that carries one exchange at a time. Used on the event loop.
  *
- * <p>An answer that belongs to another request is read over and the connection is not used again.
- * Bytes that come while no answer is due end the connection. Used on the event loop.
+ * <p>A response that belongs to another request is skipped, and the connection is not reused. Bytes
+ * received without an active exchange close the connection.
  *
  * @since 0.2
  */
@@ -43,46 +43,48 @@
     // ---------------------------------------------------------------- use
 
     /**
-     * Sends a request and tells the listener what comes back.
+     * Sends a request; the listener receives the response.
      *
-     * @param belongs whether an answer's head belongs to this request
+     * @param matchesRequest tests whether a response head belongs to the request
      */
     public void send(
-            FullHttpRequest request, Predicate<HttpResponse> belongs, ResponseListener listener) {
+            FullHttpRequest request,
+            Predicate<HttpResponse> matchesRequest,
+            ResponseListener listener) {
         mListener = listener;
-        mMatchesRequest = belongs;
+        mMatchesRequest = matchesRequest;
         mInResponse = false;
         mSkipping = false;
         mWritten = mChannel.writeAndFlush(request);
     }
 
-    /** Ends the exchange under way without a further word to its listener. */
+    /** Aborts the exchange and closes the connection without calling the listener. */
     public void abort() {
         mListener = null;
         close();
     }
 
-    /** Gives back a connection on which nothing was sent. */
+    /** Returns a connection to the pool on which nothing was sent. */
     public void release() {
         mPool.release(this, true);
     }
 
-    /** Stops or goes on reading, so that a slow reader downstream holds the sender up. */
-    public void setAutoRead(boolean reading) {
-        mChannel.config().setAutoRead(reading);
+    /** Pauses or resumes reading, to apply backpressure to the server. */
+    public void setAutoRead(boolean autoRead) {
+        mChannel.config().setAutoRead(autoRead);
     }
 
-    /** Keeps the connection no longer than this when idle. */
+    /** Limits how long the connection may be idle. */
     public void limitIdleMillis(long millis) {
         mMaxIdleMillis = Math.min(mMaxIdleMillis, millis);
     }
 
-    /** Returns whether a request can be sent on it. */
+    /** Returns whether a request can be sent. */
     public boolean isUsable() {
         return mReusable && mChannel.isActive();
     }
 
-    /** Notes that no request uses it: whoever held the last answer up holds up no other. */
+    /** Marks the connection as idle and resumes reading. */
     void onIdle(long nowMillis) {
         mIdleSince = nowMillis;
         mChannel.config().setAutoRead(true);
@@ -103,7 +105,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- events of the channel
+    // ---------------------------------------------------------------- channel events
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
@@ -129,7 +131,7 @@
 
     private void onObject(HttpObject o) {
         if (mListener == null) {
-            close(); // bytes that belong to no request
+            close(); // data without an active request
             return;
         }
         if (o.decoderResult().isFailure()) {
@@ -188,7 +190,8 @@
         ResponseListener l = mListener;
         mListener = null;
         mInResponse = false;
-        // An answer that came before the request was written whole leaves the rest of it due.
+        // If the response came before the request was fully written, the connection is not
+        // reusable.
         boolean written = mWritten.isDone() && mWritten.isSuccess();
         mPool.release(this, written);
         l.onComplete();
@@ -203,16 +206,20 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         mReusable = false;
-        fail(ExchangeFailure.CLOSED, mInResponse ? "within the answer" : "before the answer");
+        fail(
+                ExchangeFailure.CLOSED,
+                mInResponse
+                        ? "connection closed during the response"
+                        : "connection closed before the response");
         mPool.onClosed(this);
     }
 
-    private void fail(ExchangeFailure kind, String detail) {
+    private void fail(ExchangeFailure failure, String detail) {
         ResponseListener l = mListener;
         mListener = null;
         close();
         if (l != null) {
-            l.onExchangeFailed(kind, detail);
+            l.onExchangeFailed(failure, detail);
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/ResponseListener.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/ResponseListener.java
@@ -3,20 +3,23 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Hears what becomes of one exchange. Called on the event loop; nothing follows an end. */
+/**
+ * Receives the response of one exchange. Called on the event loop; nothing follows {@link
+ * #onComplete} or {@link #onExchangeFailed}.
+ */
 public interface ResponseListener {
-    /** Tells of the answer's head. */
+    /** Called with the response head. */
     void onHead(HttpResponse head);
 
-    /** Tells of a part of the body; the bytes are the caller's again when this returns. */
+    /** Called with a part of the body; the buffer is only valid during the call. */
     void onBody(ByteBuf bytes);
 
-    /** Tells that all bytes that have arrived by now were told; more may follow. */
+    /** Called after all available bytes were delivered; more may follow. */
     default void onReadComplete() {}
 
-    /** Tells that the answer is whole. */
+    /** Called when the response is complete. */
     void onComplete();
 
-    /** Tells that no whole answer comes. */
-    void onExchangeFailed(ExchangeFailure kind, String detail);
+    /** Called when the exchange ends without a complete response. */
+    void onExchangeFailed(ExchangeFailure failure, String detail);
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/SimpleHttpClient.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/SimpleHttpClient.java
@@ -20,14 +20,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes small calls to one HTTP server and brings whole replies.
+ * Client for small requests to one HTTP server with buffered responses. Used on the event loop.
  *
- * <p>A call that runs out of time fails and takes its connection with it. Used on the event loop.
+ * <p>A call that times out fails and closes its connection.
  *
  * @since 0.2
  */
 public final class SimpleHttpClient {
-    /** An idle connection older than this may have been forgotten by the other side. */
+    /** Older idle connections may have been closed by the server. */
     private static final long MAX_IDLE_MILLIS = 4_000;
 
     private final EventLoop mLoop;
@@ -42,34 +42,37 @@
         mAddress = address;
     }
 
-    /** Creates a client of one address. */
+    /** Creates a client for one address. */
     public static SimpleHttpClient of(
             EventLoop loop, Connector connector, Clock clock, String address) {
         return new SimpleHttpClient(loop, connector, clock, address);
     }
 
     /**
-     * Holds a reply.
+     * A complete response.
      *
      * @param status the status code
      * @param headers the header fields
-     * @param body the whole body
+     * @param body the body
      */
     public record Response(int status, HttpHeaders headers, byte[] body) {
-        /** Returns a reply with another status. */
-        public Response withStatus(int other) {
-            return new Response(other, headers, body);
+        /** Returns this response with another status. */
+        public Response withStatus(int newStatus) {
+            return new Response(newStatus, headers, body);
         }
     }
 
-    /** Makes a call; the future fails with an {@link IOException} when no whole reply came. */
+    /**
+     * Sends a request. The future fails with an {@link IOException} if no complete response
+     * arrives.
+     */
     public CompletableFuture<Response> call(
             HttpMethod method, String uri, byte[] body, long timeoutMillis) {
         mCallCount++;
         Call call = new Call(request(method, uri, body));
         call.mTimer =
                 mLoop.schedule(
-                        () -> call.fail("no reply in " + timeoutMillis + " ms"),
+                        () -> call.fail("no complete response within " + timeoutMillis + " ms"),
                         timeoutMillis,
                         TimeUnit.MILLISECONDS);
         mPool.acquire(MAX_IDLE_MILLIS, call);
@@ -88,12 +91,12 @@
         return r;
     }
 
-    /** Returns the calls made since the start. */
+    /** Returns the number of calls since the start. */
     public long callCount() {
         return mCallCount;
     }
 
-    /** Returns the bytes of replies read since the start. */
+    /** Returns the number of body bytes received since the start. */
     public long bytesRead() {
         return mBytesRead;
     }
@@ -103,7 +106,7 @@
         mPool.close();
     }
 
-    /** Is one call under way. */
+    /** An active call. */
     private final class Call implements ConnectionCallback, ResponseListener {
         private final FullHttpRequest mRequest;
         private final CompletableFuture<Response> mResponse = new CompletableFuture<>();
@@ -127,8 +130,8 @@
         }
 
         @Override
-        public void onConnectionFailed(ExchangeFailure kind, String detail) {
-            fail(kind + " " + detail);
+        public void onConnectionFailed(ExchangeFailure failure, String detail) {
+            fail(failure + " " + detail);
         }
 
         @Override
@@ -151,12 +154,12 @@
         }
 
         @Override
-        public void onExchangeFailed(ExchangeFailure kind, String detail) {
+        public void onExchangeFailed(ExchangeFailure failure, String detail) {
             mConnection = null;
-            fail(kind + " " + detail);
+            fail(failure + " " + detail);
         }
 
-        private void fail(String why) {
+        private void fail(String message) {
             if (mResponse.isDone()) {
                 return;
             }
@@ -164,7 +167,7 @@
             if (mConnection != null) {
                 mConnection.abort();
             }
-            mResponse.completeExceptionally(new IOException(mAddress + ": " + why));
+            mResponse.completeExceptionally(new IOException(mAddress + ": " + message));
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/package-info.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/package-info.java
@@ -1,2 +1,2 @@
-/** Sockets and connections: bytes in, bytes out, typed ends. */
+/** HTTP connections, connection pools and stream encoding. */
 package org.forkseam.direct.io;
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/AddressesTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/AddressesTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests the reading of addresses. */
+/** Tests the parsing of addresses. */
 class AddressesTest {
     @Test
-    void addressIsRead() {
+    void validAddressIsParsed() {
         assertThat(Addresses.parse("10.1.2.3:80").toString()).isEqualTo("/10.1.2.3:80");
     }
 
@@ -25,7 +25,7 @@
                 "10.1.2.3:x",
                 "10.1.2.3:70000"
             })
-    void malformedAddressIsRefused(String text) {
+    void malformedAddressIsRejected(String text) {
         Throwable e = assertThrows(IllegalArgumentException.class, () -> Addresses.parse(text));
         assertThat(e).hasMessageThat().contains("address " + text);
     }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/ChunkEncoderTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/ChunkEncoderTest.java
@@ -18,13 +18,13 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Tests chunks by the library that reads them. */
+/** Tests that Netty's decoder reads the encoded chunks. */
 class ChunkEncoderTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** Whatever the parts: the library's decoder reads the same bytes, and an end. */
+    /** Decoding returns the encoded bytes, whatever the split into parts. */
     @Property(seed = "4731", tries = 300)
-    void whatIsFramedIsReadAgain(
+    void encodedChunksAreDecoded(
             @ForAll @Size(min = 1, max = 6) List<@Size(min = 1, max = 600) byte[]> parts)
             throws Exception {
         EmbeddedChannel channel = new EmbeddedChannel(new HttpClientCodec());
@@ -46,9 +46,9 @@
         channel.finishAndReleaseAll();
     }
 
-    /** The part is the frame's from then on. */
+    /** The encoder takes ownership of the part. */
     @org.junit.jupiter.api.Test
-    void thePartIsReleased() {
+    void partIsReleased() {
         ByteBuf part = Unpooled.copiedBuffer("x", StandardCharsets.US_ASCII);
         ChunkEncoder.encode(Buffers.allocator(), part).release();
         assertThat(part.refCnt()).isEqualTo(0);
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/EarlyServerSocketTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/EarlyServerSocketTest.java
@@ -18,7 +18,7 @@
 import java.net.Socket;
 import java.util.concurrent.TimeUnit;
 
-/** Tests that callers are not refused while a router is still loading. */
+/** Tests that connections made before the event loop serves the socket are not refused. */
 class EarlyServerSocketTest {
     private static final int TIMEOUT_MILLIS = 5_000;
 
@@ -30,7 +30,7 @@
         mGroup.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    /** Sends back what came. */
+    /** Echoes received bytes. */
     private static final class Echo extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel ch) {
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void connectionsThatCameBeforeAreServed() throws Exception {
+    void earlyConnectionsAreServed() throws Exception {
         EarlyServerSocket listener = EarlyServerSocket.open(new InetSocketAddress("127.0.0.1", 0));
         try (Socket before = connect(listener)) {
             before.getOutputStream().write('a');
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/EventSplitterTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/EventSplitterTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Tests that streams are cut at the borders of events. */
+/** Tests that streams are split at event boundaries. */
 class EventSplitterTest {
     private static ByteBuf bytes(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
@@ -32,7 +32,7 @@
     }
 
     @Property(tries = 300)
-    void whateverThePartsEventsStayWhole(
+    void eventsStayCompleteForAnySplit(
             @ForAll @IntRange(min = 1, max = 8) int events,
             @ForAll @Size(max = 20) List<@IntRange(min = 1, max = 30) Integer> cuts,
             @ForAll boolean crlf) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void whatCameTogetherIsTakenTogether() {
+    void allCompleteEventsAreTakenAtOnce() {
         EventSplitter s = EventSplitter.create();
         s.add(bytes("id: 1\ndata: a\n\n"));
         s.add(bytes("id: 2\ndata: b\n\nid: 3\n"));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aStreamThatHasNotBegunHasNoId() {
+    void emptyStreamHasNoLastEventId() {
         assertThat(EventSplitter.create().lastEventId()).isEqualTo(Optional.empty());
     }
 }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/HttpConnectionTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/HttpConnectionTest.java
@@ -24,14 +24,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Tests every way in which an exchange with a target can end. */
+/** Tests the ways in which an exchange with a target can end. */
 class HttpConnectionTest {
     private static final MultiThreadIoEventLoopGroup GROUP =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private static final EventLoop LOOP = (EventLoop) GROUP.next();
     private static final long WAIT_SECONDS = 10;
 
-    /** Names an answer, and the end that the router must see. */
+    /** A response and the expected end of the exchange. */
     enum Case {
         WHOLE("HTTP/1.1 200 OK\r\nRequest-Id: r\r\nContent-Length: 2\r\n\r\nok", "END ok"),
         CHUNKED(
@@ -60,11 +60,11 @@
                         + "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nContent-Length: 2\r\n\r\nok",
                 "END ok");
 
-        private final String mAnswer;
+        private final String mResponse;
         private final String mEnd;
 
-        Case(String answer, String end) {
-            mAnswer = answer;
+        Case(String response, String end) {
+            mResponse = response;
             mEnd = end;
         }
     }
@@ -95,8 +95,8 @@
         }
 
         @Override
-        public void onConnectionFailed(ExchangeFailure kind, String detail) {
-            mEnd.complete(kind + " ");
+        public void onConnectionFailed(ExchangeFailure failure, String detail) {
+            mEnd.complete(failure + " ");
         }
 
         @Override
@@ -113,8 +113,8 @@
         }
 
         @Override
-        public void onExchangeFailed(ExchangeFailure kind, String detail) {
-            mEnd.complete(kind + " " + mBody);
+        public void onExchangeFailed(ExchangeFailure failure, String detail) {
+            mEnd.complete(failure + " " + mBody);
         }
     }
 
@@ -130,11 +130,11 @@
 
     @ParameterizedTest
     @EnumSource(Case.class)
-    void endOfAnAnswer(Case c) throws Exception {
+    void responseEndIsDetected(Case c) throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
-                            w.send(c.mAnswer);
+                            w.send(c.mResponse);
                             return false;
                         })) {
             String end = exchange(pool(s.address()));
@@ -145,9 +145,9 @@
         }
     }
 
-    /** An answer without a length that is reset is not whole, though its bytes have come. */
+    /** A response delimited by close is incomplete if the connection is reset. */
     @Test
-    void resetIsNoEnd() throws Exception {
+    void resetDoesNotCompleteTheResponse() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
@@ -161,11 +161,11 @@
     }
 
     /**
-     * A connection that breaks is still counted while its user hears of it: at a small limit nobody
-     * could find out whether the target has ended.
+     * A broken connection may still count as open when its replacement is opened, so the limit must
+     * not apply.
      */
     @Test
-    void aBrokenConnectionIsReplacedAtTheLimit() throws Exception {
+    void brokenConnectionIsReplacedAtTheLimit() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void nobodyListens() throws Exception {
+    void refusedConnectionIsReported() throws Exception {
         String address;
         try (ScriptedServer s = ScriptedServer.of((r, w) -> false)) {
             address = s.address();
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void connectionsAreUsedAgain() throws Exception {
+    void connectionsAreReused() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
@@ -206,9 +206,9 @@
         }
     }
 
-    /** A slow reader holds its own answer up, not the next one on the same connection. */
+    /** Backpressure on one response must not block the next one on the same connection. */
     @Test
-    void aConnectionIsGivenBackReading() throws Exception {
+    void releasedConnectionResumesReading() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
@@ -231,9 +231,9 @@
         }
     }
 
-    /** A surplus answer on a kept connection must not reach the next request. */
+    /** A surplus response on a kept connection must not reach the next request. */
     @Test
-    void surplusAnswerEndsTheConnection() throws Exception {
+    void surplusResponseClosesTheConnection() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void noMoreConnectionsThanTheLimit() throws Exception {
+    void connectionLimitIsEnforced() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of((r, w) -> w.awaitClose((int) WAIT_SECONDS * 1000))) {
             ConnectionPool pool = pool(s.address());
