--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/FleetSource.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/FleetSource.java
@@ -8,23 +8,22 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Is where routers learn of what operators have written, and of targets.
+ * Source of operator state and the list of targets.
  *
- * <p>Futures complete on the event loop, and fail with a {@link SourceException} when no usable
- * answer came.
+ * <p>Futures complete on the event loop, and fail with a {@link SourceException} if there is no
+ * usable response.
  *
  * @since 0.2
  */
 public interface FleetSource {
-    /** Reads the newest configuration, if there is one, and which domains are evacuated. */
+    /** Reads the newest configuration, if any, and the evacuated failure domains. */
     CompletableFuture<Versioned<OperatorState>> readOperatorState();
 
     /**
-     * Waits for a change by operators that is newer than a position; an answer of another era may
-     * lack changes.
+     * Waits for operator changes newer than a position. A result of another era may lack changes.
      *
      * @param since position of the last read
-     * @param waitMillis longest time to wait; then the result holds no change
+     * @param waitMillis maximum wait, after which the result is empty
      */
     CompletableFuture<Versioned<OperatorState>> awaitOperatorState(
             StorePosition since, long waitMillis);
@@ -32,6 +31,6 @@
     /** Reads the list of targets. */
     CompletableFuture<Versioned<List<TargetEntry>>> readTargets();
 
-    /** Returns how many entries of the last list named no target to use, by what was wrong. */
+    /** Returns the number of invalid entries in the last list, by reason. */
     Map<String, Long> invalidEntries();
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/ForwardingInfo.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/ForwardingInfo.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /**
- * Holds what the router adds to a request that it hands to a target.
+ * Information that the router adds to a request forwarded to a target. Immutable.
  *
- * @param targetId the only target that may run it
- * @param waitMillis what is left of the caller's time
- * @param team the team the caller belongs to
- * @param priority rank, 0 is the most urgent
- * @param lastEventId event after which the stream is to go on
- * @param copyFrom address of a target from which the prompt is to be copied, IP:PORT
+ * @param targetId the only target that may run the request
+ * @param remainingMillis remaining time until the caller's timeout
+ * @param team the caller's team
+ * @param priority priority, 0 is the most urgent
+ * @param lastEventId event after which the stream is to resume
+ * @param copySource address of a target from which to copy the prompt, IP:PORT
  * @since 0.2
  */
 public record ForwardingInfo(
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/OperatorState.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/OperatorState.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /**
- * Holds what operators have written: all of it after a read, what has changed after a wait.
+ * State set by operators: complete after a read, changes only after a wait. Immutable.
  *
- * @param config the newest configuration, if there is one or if it has changed
- * @param evacuated failure domains that are to get no new work
- * @param returned failure domains that were evacuated before; empty after a read
+ * @param config the newest configuration, if it exists or has changed
+ * @param evacuated failure domains that receive no new requests
+ * @param restored failure domains whose evacuation has ended; empty after a read
  * @since 0.5
  */
 public record OperatorState(
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/RequestHead.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/RequestHead.java
@@ -6,14 +6,14 @@
 import java.util.OptionalLong;
 
 /**
- * Holds what the head of a caller's request says, decoded.
+ * Decoded head of a caller's request. Immutable.
  *
- * @param requestId names the request
- * @param waitMillis how long the caller waits for the answer
+ * @param requestId the request id
+ * @param timeoutMillis how long the caller waits for the response
  * @param key the caller's key
  * @param prompt the prompt, for requests to model engines
- * @param lastEventId the last event the caller has, when it resumes a stream
- * @param malformed name of a field that cannot be read, if there is one
+ * @param lastEventId the last event received by a caller that resumes a stream
+ * @param malformed name of a malformed field, if any
  * @since 0.2
  */
 public record RequestHead(
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/ResponseHead.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/ResponseHead.java
@@ -7,14 +7,14 @@
 import java.util.OptionalLong;
 
 /**
- * Holds what the head of a target's answer says, decoded.
+ * Decoded head of a target's response. Immutable.
  *
- * @param requestId the request it belongs to
- * @param notRun whether the target says that it has not run the request and will not
- * @param wrongTarget whether another target than the one expected lives at the address
- * @param load requests the target runs and holds waiting
- * @param keepMillis how long the target keeps the connection when idle
- * @param word what the target says of whether it wants further requests
+ * @param requestId the id of the request it belongs to
+ * @param notRun whether the target reports that it did not and will not run the request
+ * @param wrongTarget whether a different target than expected listens at the address
+ * @param load number of requests running and queued at the target
+ * @param keepAliveMillis how long the target keeps an idle connection
+ * @param word the target's statement on whether it accepts further requests
  * @since 0.2
  */
 public record ResponseHead(
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/SharedRowStore.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/SharedRowStore.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Is where routers keep the little that they share and that must outlast them. Futures complete on
- * the event loop and fail with a {@link SourceException} when no usable answer came.
+ * Store for small state that all routers share and that survives their restarts. Futures complete
+ * on the event loop and fail with a {@link SourceException} if there is no usable response.
  *
  * @since 0.2
  */
@@ -15,19 +15,19 @@
     /** Reads all rows. */
     CompletableFuture<Versioned<List<SharedRow>>> readAll();
 
-    /** Waits for rows changed since a position; an answer of another era may lack changes. */
+    /** Waits for rows changed after a position. A result of another era may lack changes. */
     CompletableFuture<Versioned<List<SharedRow>>> awaitChanges(
             StorePosition since, long waitMillis);
 
     /**
-     * Writes a row if it still has the revision given, and returns the row as it then is: the one
-     * written, or another router's.
+     * Writes a row if its position is unchanged. Returns the current row, which is either the one
+     * written or another router's.
      *
      * @param expected the row's position when read; revision 0 if it must be absent
      */
     CompletableFuture<SharedRow> compareAndSet(String key, String value, StorePosition expected);
 
-    /** Writes a row whatever it holds. */
+    /** Writes a row unconditionally. */
     CompletableFuture<Void> put(String key, String value);
 
     /** Removes a row. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/SourceException.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/SourceException.java
@@ -3,31 +3,32 @@
 import java.io.IOException;
 import java.util.concurrent.CompletionException;
 
-/** Reports that the source of knowledge gave no usable answer. */
+/** Thrown when a {@link FleetSource} or {@link SharedRowStore} returns no usable response. */
 public final class SourceException extends IOException {
     private static final long serialVersionUID = 1L;
 
     private final boolean mHistoryCompacted;
 
-    private SourceException(String what, boolean historyGone) {
-        super(what);
-        mHistoryCompacted = historyGone;
+    private SourceException(String message, boolean historyCompacted) {
+        super(message);
+        mHistoryCompacted = historyCompacted;
     }
 
-    /** Creates the report of a failure. */
-    public static SourceException of(String what) {
-        return new SourceException(what, false);
+    /** Creates an exception. */
+    public static SourceException of(String message) {
+        return new SourceException(message, false);
     }
 
-    /** Creates the report that changes since a revision are not kept any more. */
+    /** Creates an exception for a position whose later changes are no longer retained. */
     public static SourceException historyCompacted() {
-        return new SourceException("history is gone", true);
+        return new SourceException(
+                "changes since the requested position are no longer retained", true);
     }
 
     /**
-     * Returns whether a read of the whole helps at once: the source has answered.
+     * Returns whether changes were compacted, so that a full read is needed.
      *
-     * @param failure of a call, alone or as the cause that a future wraps
+     * @param failure the failure, possibly wrapped by a future
      */
     public static boolean isHistoryCompacted(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/Versioned.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/Versioned.java
@@ -4,16 +4,16 @@
 import org.forkseam.core.store.StoreTime;
 
 /**
- * Holds something read from the source of knowledge, and where in its history.
+ * A value read from a source, with its position in the source's history. Immutable.
  *
- * @param <T> what was read
- * @param position moves on with every change of the source
- * @param readAt the source's own steady clock when it was read, in milliseconds
- * @param value what was read
+ * @param <T> type of the value
+ * @param position position in the history; advances with every change
+ * @param readAt the source's monotonic clock at the read, in milliseconds
+ * @param value the value
  * @since 0.2
  */
 public record Versioned<T>(StorePosition position, long readAt, T value) {
-    /** Returns when it was read. */
+    /** Returns the time of the read. */
     public StoreTime readTime() {
         return StoreTime.of(position.era(), readAt);
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/package-info.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/package-info.java
@@ -1,2 +1,2 @@
-/** What an adapter brings: how callers, targets and the source of knowledge speak. */
+/** Interfaces that an adapter implements, and their data types. */
 package org.forkseam.direct.spi;
