--- a/forkseam-direct/src/main/java/org/forkseam/direct/admin/AdminService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/admin/AdminService.java
@@ -36,51 +36,51 @@
 import java.util.function.Supplier;
 
 /**
- * Answers the balancer's question whether the router is ready, and operators' questions for metrics
- * and for the state dump. Used on the event loop.
+ * Serves readiness checks, metrics, operator pages and state snapshots for other routers over HTTP.
+ * Used on the event loop.
  *
  * @since 0.2
  */
 public final class AdminService implements Service {
-    /** Name of the service. */
+    /** Service name. */
     public static final String NAME = "admin";
 
-    /** The metrics library is loaded so long after the start, when callers are being served. */
+    /** Delay before the metrics registry is loaded, so that it does not slow down the start. */
     private static final long REGISTRY_DELAY_MILLIS = 8_000;
 
     private static final int MAX_BODY_BYTES = 4096;
     private static final String METRICS_PATH = "/metrics";
 
     private final EventLoop mLoop;
-    private final InetSocketAddress mReadiness;
-    private final Optional<InetSocketAddress> mMetrics;
+    private final InetSocketAddress mReadinessAddress;
+    private final Optional<InetSocketAddress> mMetricsAddress;
     private final BooleanSupplier mReady;
     private final MeterBinder mMeters;
     private final OperatorPages mPages;
-    private final Optional<InetSocketAddress> mPeers;
+    private final Optional<InetSocketAddress> mPeerAddress;
     private final Supplier<Optional<byte[]>> mSnapshot;
     private final List<Channel> mListeners = new ArrayList<>();
     private Optional<PrometheusMeterRegistry> mRegistry = Optional.empty();
     private boolean mWasReady;
 
-    private AdminService(EventLoop loop, ListenAddresses addresses, DataSources views) {
+    private AdminService(EventLoop loop, ListenAddresses addresses, DataSources sources) {
         mLoop = loop;
-        mReadiness = addresses.readiness();
-        mMetrics = addresses.metrics();
-        mReady = views.ready();
-        mMeters = views.meters();
-        mPages = views.operatorPages();
-        mPeers = addresses.peers();
-        mSnapshot = views.snapshot();
+        mReadinessAddress = addresses.readiness();
+        mMetricsAddress = addresses.metrics();
+        mReady = sources.ready();
+        mMeters = sources.meters();
+        mPages = sources.operatorPages();
+        mPeerAddress = addresses.peers();
+        mSnapshot = sources.snapshot();
     }
 
-    /** Holds where questions are answered. */
+    /** Listen addresses of the HTTP endpoints. Immutable. */
     public record ListenAddresses(
             InetSocketAddress readiness,
             Optional<InetSocketAddress> metrics,
             Optional<InetSocketAddress> peers) {}
 
-    /** Holds what the answers are made of. */
+    /** Sources of the data to serve. Immutable. */
     public record DataSources(
             BooleanSupplier ready,
             MeterBinder meters,
@@ -88,8 +88,8 @@
             OperatorPages operatorPages) {}
 
     /** Creates the service. */
-    public static AdminService of(EventLoop loop, ListenAddresses addresses, DataSources views) {
-        return new AdminService(loop, addresses, views);
+    public static AdminService of(EventLoop loop, ListenAddresses addresses, DataSources sources) {
+        return new AdminService(loop, addresses, sources);
     }
 
     @Override
@@ -101,9 +101,9 @@
     public CompletableFuture<Void> start() {
         mLoop.schedule(this::registry, REGISTRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         List<CompletableFuture<Void>> bound = new ArrayList<>();
-        bound.add(listen(mReadiness, this::handleReadiness));
-        mMetrics.ifPresent(a -> bound.add(listen(a, this::handleOperatorRequest)));
-        mPeers.ifPresent(a -> bound.add(listen(a, this::handleSnapshot)));
+        bound.add(listen(mReadinessAddress, this::handleReadiness));
+        mMetricsAddress.ifPresent(a -> bound.add(listen(a, this::handleOperatorRequest)));
+        mPeerAddress.ifPresent(a -> bound.add(listen(a, this::handleSnapshot)));
         return CompletableFuture.allOf(bound.toArray(new CompletableFuture<?>[0]));
     }
 
@@ -113,12 +113,13 @@
         return CompletableFuture.completedFuture(null);
     }
 
-    /** Answers one request by its path. */
+    /** Handles a request by its path. */
     private interface RequestHandler {
         FullHttpResponse handle(String path);
     }
 
-    private CompletableFuture<Void> listen(InetSocketAddress address, RequestHandler page) {
+    private CompletableFuture<Void> listen(
+            InetSocketAddress address, RequestHandler requestHandler) {
         CompletableFuture<Void> bound = new CompletableFuture<>();
         new ServerBootstrap()
                 .group(mLoop)
@@ -130,7 +131,7 @@
                                 ch.pipeline()
                                         .addLast(new HttpServerCodec())
                                         .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
-                                        .addLast(handler(page));
+                                        .addLast(handler(requestHandler));
                             }
                         })
                 .bind(address)
@@ -146,14 +147,14 @@
         return bound;
     }
 
-    private static ChannelHandler handler(RequestHandler page) {
+    private static ChannelHandler handler(RequestHandler requestHandler) {
         return new SimpleChannelInboundHandler<FullHttpRequest>() {
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
-                FullHttpResponse answer = page.handle(r.uri());
+                FullHttpResponse response = requestHandler.handle(r.uri());
                 boolean keep = HttpUtil.isKeepAlive(r);
-                HttpUtil.setKeepAlive(answer, keep);
-                ctx.writeAndFlush(answer)
+                HttpUtil.setKeepAlive(response, keep);
+                ctx.writeAndFlush(response)
                         .addListener(
                                 f -> {
                                     if (!keep) {
@@ -164,7 +165,7 @@
 
             @Override
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                ctx.close(); // whoever asked has gone
+                ctx.close(); // connection reset by the client
             }
         };
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/admin/OperatorPages.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/admin/OperatorPages.java
@@ -19,14 +19,14 @@
 import java.util.function.Supplier;
 
 /**
- * Shows operators what a router does: its state, its targets by pool, and why a request went where
- * it went. The pages have the paths and shapes that {@code forkseam} reads from every daemon. Used
- * on the event loop.
+ * JSON pages for operators: a state dump, the targets by pool, and the routing decisions on a
+ * request. Paths and formats match those that {@code forkseam} reads from every daemon. Used on the
+ * event loop.
  *
  * @since 0.3
  */
 public final class OperatorPages {
-    /** The paths that are answered, for error messages. */
+    /** The supported paths, for error messages. */
     static final String PATHS = "/dump, /v1/dump, /v1/fleet, /v1/explain/REQUEST-ID";
 
     private static final String EXPLAIN = "/v1/explain/";
@@ -50,7 +50,7 @@
         mDecisions = decisions;
     }
 
-    /** Creates the pages of one router. */
+    /** Creates the pages of a router. */
     public static OperatorPages of(
             String host,
             Clock clock,
@@ -60,7 +60,7 @@
         return new OperatorPages(host, clock, dump, knowledge, decisions);
     }
 
-    /** Returns the page of a path as JSON, or empty if there is none. */
+    /** Returns the page at a path as JSON, or empty if there is none. */
     Optional<byte[]> json(String path) {
         return content(path).flatMap(OperatorPages::write);
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/admin/package-info.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/admin/package-info.java
@@ -1,2 +1,2 @@
-/** Readiness, metrics and the state dump. */
+/** HTTP endpoints for readiness, metrics and the state dump. */
 package org.forkseam.direct.admin;
