--- a/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
@@ -16,12 +16,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Is one router on the direct path: its services, started and stopped together.
+ * A router that forwards requests directly to targets. Starts and stops its services together.
  *
  * @since 0.2
  */
 public final class DirectRouter {
-    /** Reads of the list of targets that fit into the time in which a leaving one is noticed. */
+    /** Number of target list reads within the time in which a leaving target must be noticed. */
     private static final double READS_PER_DRAIN = 2.5;
 
     private final Kernel mKernel;
@@ -35,17 +35,17 @@
     }
 
     /**
-     * Creates a router from its settings and what an adapter brings.
+     * Creates a router.
      *
-     * @param listener where callers connect, open already
-     * @param loop runs all of the router's work
+     * @param listener the open socket on which callers connect
+     * @param loop the event loop that runs all work
      */
     public static DirectRouter of(
             RouterSettings settings,
             EarlyServerSocket listener,
             EventLoop loop,
             Clock clock,
-            HeaderCodec protocol,
+            HeaderCodec codec,
             Knowledge.Sources sources) {
         RandomGenerator random = new java.util.SplittableRandom(settings.host().hashCode());
         Knowledge knowledge =
@@ -61,7 +61,7 @@
                         loop,
                         clock,
                         settings,
-                        new RouterService.Parts(listener, knowledge, protocol, random));
+                        new RouterService.Parts(listener, knowledge, codec, random));
         Kernel kernel = Kernel.of(settings.bounds().shutdownMillis());
         AdminService admin =
                 AdminService.of(
@@ -91,7 +91,7 @@
         return (long) (b.targetDrainMillis() / READS_PER_DRAIN);
     }
 
-    /** Puts the bounds of newer settings in force; addresses and names stay as at the start. */
+    /** Applies the limits of new settings; addresses and names are not changed. */
     public void reload(RouterSettings newer) {
         mRouter.reload(newer.bounds());
         mKnowledge.setListMillis(targetListMillis(newer.bounds()));
@@ -102,17 +102,17 @@
         mKernel.start();
     }
 
-    /** Stops all services; returns when the last answer is out, or the time given is over. */
+    /** Stops all services; returns after the last response or at the shutdown timeout. */
     public void stop() throws InterruptedException {
         mKernel.stop();
     }
 
-    /** Returns what each service shows of itself, by name. */
+    /** Returns the state of each service by name. */
     public Map<String, Object> dump() {
         return mKernel.dump();
     }
 
-    /** Returns whether it serves callers. */
+    /** Returns whether the router is ready for callers. */
     public boolean isReady() {
         return mRouter.isReady();
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/RouterSettings.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/RouterSettings.java
@@ -5,17 +5,17 @@
 import java.util.Optional;
 
 /**
- * Holds what a router on the direct path is told.
+ * Settings of a router. Immutable.
  *
- * @param host name of its host
- * @param domain its failure domain
- * @param regions the region of each failure domain
- * @param callers where callers connect
- * @param readiness where the balancer asks whether it is ready
- * @param metrics where metrics and the state dump are served
- * @param peers where other routers ask what this one knows, if anywhere
- * @param notices where other routers send datagrams
- * @param bounds times and shares to keep to
+ * @param host name of the host
+ * @param domain failure domain of the host
+ * @param regions region of each failure domain
+ * @param callerAddress listen address for callers
+ * @param readinessAddress listen address for the balancer's readiness checks
+ * @param metricsAddress listen address for metrics and the state dump, if any
+ * @param peerAddress listen address for snapshot requests of other routers, if any
+ * @param noticeAddress listen address for datagrams of other routers
+ * @param bounds time and load limits
  * @since 0.2
  */
 public record RouterSettings(
@@ -29,7 +29,7 @@
         InetSocketAddress noticeAddress,
         Bounds bounds) {
 
-    /** Returns the same settings with other bounds. */
+    /** Returns these settings with other limits. */
     public RouterSettings withBounds(Bounds other) {
         return new RouterSettings(
                 host,
@@ -44,16 +44,17 @@
     }
 
     /**
-     * Holds times and shares to keep to.
+     * Time and load limits. Immutable.
      *
-     * @param stopMillis time from the order to stop to the end of the process
-     * @param leaveMillis time from a target's word that it leaves to its last new request
-     * @param repeatShare repeats allowed per request, over all routers
-     * @param repeatAllowance repeats allowed besides, over all routers
-     * @param repeatWindowMillis window in which both are counted
-     * @param loadMultiple bound on a target's load, as a multiple of its pool's mean
-     * @param coldOvershoot bound on the requests that a cold target gets within a second, as a
-     *     multiple of what it bears
+     * @param shutdownMillis maximum time from the stop signal to the end of the process
+     * @param targetDrainMillis maximum time between a target's leave notice and its last new
+     *     request
+     * @param retryShare retries as a share of requests, over all routers
+     * @param retryAllowance retries allowed in addition, over all routers
+     * @param retryWindowMillis window of the retry limits
+     * @param maxLoadRatio maximum load of a target as a multiple of its pool's mean
+     * @param coldOvershoot maximum requests per second to a cold target, as a multiple of its
+     *     capacity
      */
     public record Bounds(
             long shutdownMillis,
--- a/forkseam-direct/src/main/java/org/forkseam/direct/StoreMeters.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/StoreMeters.java
@@ -9,8 +9,8 @@
 import org.forkseam.direct.know.TargetWords;
 
 /**
- * Counts what a router asks of the store and learns from it. Calls are counted by kind, as each has
- * its price; kinds that are first made after the registry is bound stand in the state dump only.
+ * Meters for the store and the state read from it. Store calls are counted by kind; kinds first
+ * used after the registry is bound appear only in the state dump. Used on the event loop.
  */
 final class StoreMeters implements MeterBinder {
     private final Knowledge mKnowledge;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/package-info.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/package-info.java
@@ -1,2 +1,2 @@
-/** The direct path: routers that speak HTTP to targets, without a sidecar between. */
+/** Routers that forward HTTP requests directly to targets, without a sidecar. */
 package org.forkseam.direct;
--- a/forkseam-direct/src/test/java/org/forkseam/direct/ScriptedServer.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/ScriptedServer.java
@@ -12,19 +12,20 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Is a target whose every answer is a script of bytes, so that tests can send what no library
- * would. Each connection has a thread of its own.
+ * A target that sends scripted bytes, including malformed responses that no library would produce.
+ * Each connection has its own thread.
  */
 public final class ScriptedServer implements AutoCloseable {
-    /** Answers one request of a connection. */
+    /** Responds to one request. */
     public interface Script {
-        /** Writes whatever it likes; returns whether the connection goes on. */
-        boolean answer(Request request, Connection wire) throws IOException, InterruptedException;
+        /** Writes the response; returns whether to keep the connection open. */
+        boolean answer(Request request, Connection connection)
+                throws IOException, InterruptedException;
     }
 
-    /** Holds a request that came. */
+    /** A received request. */
     public record Request(int number, String head, String body) {
-        /** Returns a header's value, or an empty text. */
+        /** Returns a header's value, or an empty string. */
         public String header(String name) {
             for (String line : head.split("\r\n")) {
                 if (line.toLowerCase().startsWith(name.toLowerCase() + ":")) {
@@ -40,7 +41,7 @@
         }
     }
 
-    /** Is the connection as a script sees it. */
+    /** The connection as seen by a script. */
     public static final class Connection {
         private final Socket mSocket;
 
@@ -48,20 +49,20 @@
             mSocket = socket;
         }
 
-        /** Sends text as it is. */
+        /** Sends text unchanged. */
         public void send(String text) throws IOException {
             OutputStream out = mSocket.getOutputStream();
             out.write(text.getBytes(StandardCharsets.UTF_8));
             out.flush();
         }
 
-        /** Ends the connection by a reset. */
+        /** Resets the connection. */
         public void reset() throws IOException {
             mSocket.setSoLinger(true, 0);
             mSocket.close();
         }
 
-        /** Waits until the other side closes; returns whether it did within the time. */
+        /** Waits until the peer closes the connection; returns whether it did in time. */
         public boolean awaitClose(int millis) throws IOException {
             mSocket.setSoTimeout(millis);
             try {
@@ -69,7 +70,7 @@
             } catch (java.net.SocketTimeoutException e) {
                 return false;
             } catch (IOException e) {
-                return true; // reset by the other side
+                return true; // reset by the peer
             }
         }
     }
@@ -94,7 +95,7 @@
         return new ScriptedServer(script);
     }
 
-    /** Returns a whole answer with a length. */
+    /** Returns a complete response with a length. */
     public static String ok(Request r, String body) {
         return "HTTP/1.1 200 OK\r\nRequest-Id: "
                 + r.header("Request-Id")
@@ -104,12 +105,12 @@
                 + body;
     }
 
-    /** Returns where it listens. */
+    /** Returns the listen address. */
     public String address() {
         return "127.0.0.1:" + mListener.getLocalPort();
     }
 
-    /** Returns the requests that came, in order. */
+    /** Returns the received requests in order. */
     public List<Request> requests() {
         return mReceived;
     }
@@ -130,11 +131,11 @@
 
     private void serve(Socket s) {
         try (s) {
-            Connection wire = new Connection(s);
+            Connection connection = new Connection(s);
             while (true) {
                 Request r = read(s.getInputStream());
                 mReceived.add(r);
-                if (!mScript.answer(r, wire)) {
+                if (!mScript.answer(r, connection)) {
                     return;
                 }
             }
@@ -171,8 +172,7 @@
     }
 
     /**
-     * Until the thread that accepts has left its call, the kernel keeps the port open: 28 of 20,000
-     * connections made right after a close came up all the same, and none once this was awaited.
+     * Waits for the accept thread, as the kernel keeps the port open until it has left accept().
      */
     private void awaitAcceptor() {
         try {
