--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
@@ -190,8 +190,8 @@
     }
 
     @Override
-    public void onConnectionFailed(ExchangeFailure kind, String detail) {
-        end(AttemptResult.of(kind, detail));
+    public void onConnectionFailed(ExchangeFailure failure, String detail) {
+        end(AttemptResult.of(failure, detail));
     }
 
     /**
@@ -318,10 +318,10 @@
     }
 
     @Override
-    public void onExchangeFailed(ExchangeFailure kind, String detail) {
+    public void onExchangeFailed(ExchangeFailure failure, String detail) {
         onReadComplete();
         mConnection = null;
-        end(AttemptResult.of(kind, detail));
+        end(AttemptResult.of(failure, detail));
     }
 
     private void end(AttemptResult result) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptResult.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptResult.java
@@ -90,14 +90,14 @@
         return new AttemptResult(kind, detail);
     }
 
-    static AttemptResult of(ExchangeFailure kind, String detail) {
+    static AttemptResult of(ExchangeFailure failure, String detail) {
         return new AttemptResult(
-                switch (kind) {
+                switch (failure) {
                     case UNREACHABLE, NOBODY_LISTENS -> Kind.UNREACHABLE;
                     case NO_CONNECTION_FREE -> Kind.NO_CONNECTION;
                     case MALFORMED -> Kind.MALFORMED;
                     case CLOSED, RESET -> Kind.BROKEN;
                 },
-                kind + " " + detail);
+                failure + " " + detail);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerRequest.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerRequest.java
@@ -7,7 +7,7 @@
 import org.forkseam.direct.spi.RequestHead;
 
 /**
- * A complete request from a caller. Immutable by convention.
+ * A complete request from a caller. Not modified after creation.
  *
  * @param method the method
  * @param uri the path and query as sent
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
@@ -96,8 +96,8 @@
         }
 
         @Override
-        public void onConnectionFailed(ExchangeFailure kind, String detail) {
-            if (kind == ExchangeFailure.NOBODY_LISTENS) {
+        public void onConnectionFailed(ExchangeFailure failure, String detail) {
+            if (failure == ExchangeFailure.NOBODY_LISTENS) {
                 onCrash();
             }
             finish();
