--- a/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
@@ -54,7 +54,7 @@
                         clock,
                         sources,
                         random,
-                        new Knowledge.Self(settings.host(), settings.noticeAddress()),
+                        new Knowledge.RouterIdentity(settings.host(), settings.noticeAddress()),
                         targetListMillis(settings.bounds()));
         RouterService router =
                 RouterService.of(
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
@@ -206,7 +206,7 @@
         onReceived();
         mHeadAt = mContext.now();
         mHead = head;
-        mContext.knowledge().words().onAnswer(mTarget, mDecodedHead);
+        mContext.knowledge().signals().onAnswer(mTarget, mDecodedHead);
         mDecodedHead.load().ifPresent(l -> mTarget.onLoad(l, mContext.now()));
         mDecodedHead
                 .keepAliveMillis()
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
@@ -65,7 +65,7 @@
             mProbes.put(t.start(), look);
         }
         look.mContents.add(content);
-        boolean decides = mQuarantine.isLastCrashAllowed(content);
+        boolean decides = mQuarantine.isOneCrashFromConviction(content);
         if (decides) {
             look.mCallbacks.add(then);
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/QuarantineCheck.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/QuarantineCheck.java
@@ -32,7 +32,7 @@
     void requestTrial(Runnable then) {
         mTrialRequested = true;
         mQuarantine
-                .askToTry(mContent)
+                .requestTrial(mContent)
                 .thenAccept(
                         granted -> {
                             mTrialGranted = granted;
@@ -56,6 +56,6 @@
 
     /** Returns after how many milliseconds a refused caller should come back. */
     long retryAfterMillis() {
-        return mQuarantine.backInMillis(mContent);
+        return mQuarantine.retryAfterMillis(mContent);
     }
 }
