--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
@@ -65,7 +65,7 @@
             mProbes.put(t.start(), probe);
         }
         probe.mContentHashes.add(contentHash);
-        boolean mayQuarantine = mQuarantine.isLastCrashAllowed(contentHash);
+        boolean mayQuarantine = mQuarantine.isOneCrashFromConviction(contentHash);
         if (mayQuarantine) {
             probe.mCallbacks.add(callback);
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/QuarantineCheck.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/QuarantineCheck.java
@@ -32,7 +32,7 @@
     void requestTrial(Runnable callback) {
         mTrialRequested = true;
         mQuarantine
-                .askToTry(mContentHash)
+                .requestTrial(mContentHash)
                 .thenAccept(
                         granted -> {
                             mTrialGranted = granted;
@@ -56,6 +56,6 @@
 
     /** Returns the time after which a refused caller may retry. */
     long retryAfterMillis() {
-        return mQuarantine.backInMillis(mContentHash);
+        return mQuarantine.retryAfterMillis(mContentHash);
     }
 }
