--- a/forkseam-direct/src/main/java/org/forkseam/direct/StoreMeters.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/StoreMeters.java
@@ -49,11 +49,11 @@
         Gauge.builder("forkseam.entries.unusable", mKnowledge, Knowledge::unusableEntries)
                 .description("rows among the targets' that name none")
                 .register(registry);
-        for (TargetSignals.Signal word : TargetSignals.Signal.values()) {
+        for (TargetSignals.Signal signal : TargetSignals.Signal.values()) {
             FunctionCounter.builder(
-                            "forkseam.target.words", mKnowledge, k -> k.signals().received(word))
+                            "forkseam.target.words", mKnowledge, k -> k.signals().received(signal))
                     .description("what targets said of themselves, by way")
-                    .tag("word", TargetSignals.name(word))
+                    .tag("word", TargetSignals.name(signal))
                     .register(registry);
         }
         Gauge.builder("forkseam.evacuations", mKnowledge, k -> k.evacuated().size())
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/EraCheckedSharedRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/EraCheckedSharedRows.java
@@ -3,7 +3,7 @@
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRowStore;
+import org.forkseam.direct.spi.SharedRows;
 import org.forkseam.direct.spi.SourceException;
 import org.forkseam.direct.spi.Versioned;
 
@@ -15,11 +15,11 @@
  * revision of an earlier era: the store may have reused that revision for other content. Confined
  * to the event loop.
  */
-final class EraCheckedSharedRows implements SharedRowStore {
-    private final SharedRowStore mRows;
+final class EraCheckedSharedRows implements SharedRows {
+    private final SharedRows mRows;
     private final StoreEra mEra;
 
-    EraCheckedSharedRows(SharedRowStore rows, StoreEra era) {
+    EraCheckedSharedRows(SharedRows rows, StoreEra era) {
         mRows = rows;
         mEra = era;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
@@ -15,7 +15,7 @@
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.FleetSource;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRowStore;
+import org.forkseam.direct.spi.SharedRows;
 
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
@@ -75,7 +75,7 @@
      */
     public record Sources(
             FleetSource fleet,
-            SharedRowStore shared,
+            SharedRows shared,
             List<String> peers,
             Supplier<Map<String, Long>> calls) {}
 
@@ -110,7 +110,7 @@
         FleetSource fleet = new EraCheckedFleetSource(sources.fleet(), mEra);
         mTargets = new TargetFollower(context, fleet, listMillis, this::onRestart);
         mConfig = new ConfigFollower(context, fleet, new OperatorListener());
-        SharedRowStore shared = new EraCheckedSharedRows(sources.shared(), mEra);
+        SharedRows shared = new EraCheckedSharedRows(sources.shared(), mEra);
         mRows = new RowFollower(context, shared, this::onRow);
         mSeats = new Seats(context, shared, mRows, mTargets.targets());
         mQuarantine = new Quarantine(context, shared, mRows);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
@@ -7,7 +7,7 @@
 import org.forkseam.core.util.Hashes;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRowStore;
+import org.forkseam.direct.spi.SharedRows;
 
 import java.util.List;
 import java.util.Map;
@@ -59,7 +59,7 @@
     }
 
     /** Creates an empty quarantine; terms are measured on the clock of the store. */
-    Quarantine(Context context, SharedRowStore rows, RowFollower follower) {
+    Quarantine(Context context, SharedRows rows, RowFollower follower) {
         super(context);
         mFollower = follower;
         mRows = new QuarantineRows(rows, follower);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
@@ -6,7 +6,7 @@
 import org.forkseam.core.util.Hashes;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRowStore;
+import org.forkseam.direct.spi.SharedRows;
 
 import java.util.HashSet;
 import java.util.List;
@@ -29,7 +29,7 @@
     /** Cached rows; several routers may exceed the bound in the store by concurrent writes. */
     private static final int MAX_CACHED_ROWS = 2 * MAX_ROWS;
 
-    private final SharedRowStore mRows;
+    private final SharedRows mRows;
     private final RowFollower mFollower;
     private final Map<Long, Row> mCache = BoundedMap.byInsertion(MAX_CACHED_ROWS);
     private final Set<Long> mPendingWrites = new HashSet<>();
@@ -50,7 +50,7 @@
      */
     record Change(long content, Optional<QuarantineTerm> term) {}
 
-    QuarantineRows(SharedRowStore rows, RowFollower follower) {
+    QuarantineRows(SharedRows rows, RowFollower follower) {
         mRows = rows;
         mFollower = follower;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
@@ -5,7 +5,7 @@
 import org.forkseam.core.store.StoreTime;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRowStore;
+import org.forkseam.direct.spi.SharedRows;
 import org.forkseam.direct.spi.SourceException;
 import org.forkseam.direct.spi.Versioned;
 
@@ -33,7 +33,7 @@
     /** Changes within this time are read together. */
     private static final long BATCH_MILLIS = 100;
 
-    private final SharedRowStore mRows;
+    private final SharedRows mRows;
     private final Consumer<SharedRow> mListener;
     private final ReaderRole mRole = ReaderRole.of(READER_TIMEOUT_MILLIS);
     private final RowTable mTable = new RowTable();
@@ -50,7 +50,7 @@
      *
      * @param listener receives each changed or removed row, except the registrations of routers
      */
-    RowFollower(Context context, SharedRowStore rows, Consumer<SharedRow> listener) {
+    RowFollower(Context context, SharedRows rows, Consumer<SharedRow> listener) {
         super(context);
         mRows = rows;
         mListener = listener;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowRestorer.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowRestorer.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.know;
 
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRowStore;
+import org.forkseam.direct.spi.SharedRows;
 
 import java.util.Optional;
 
@@ -22,12 +22,12 @@
     /** Routers that have not registered again this long after a restore are removed. */
     private static final long ROUTER_EXPIRY_MILLIS = 60_000;
 
-    private final SharedRowStore mRows;
+    private final SharedRows mRows;
     private final RowTable mTable;
     private final RowFollower mFollower;
     private boolean mWriting;
 
-    RowRestorer(Context context, SharedRowStore rows, RowTable table, RowFollower follower) {
+    RowRestorer(Context context, SharedRows rows, RowTable table, RowFollower follower) {
         super(context);
         mRows = rows;
         mTable = table;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Seats.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Seats.java
@@ -13,7 +13,7 @@
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRowStore;
+import org.forkseam.direct.spi.SharedRows;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -55,7 +55,7 @@
 
     private final EventLoop mLoop;
     private final Clock mClock;
-    private final SharedRowStore mRows;
+    private final SharedRows mRows;
     private final RandomGenerator mRandom;
     private final TargetDirectory mTargets;
     private final Map<String, SeatTable> mTables = new HashMap<>();
@@ -78,7 +78,7 @@
 
     Seats(
             FollowerBase.Context context,
-            SharedRowStore rows,
+            SharedRows rows,
             RowFollower follower,
             TargetDirectory targets) {
         mLoop = context.loop();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/SuspectRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/SuspectRows.java
@@ -4,7 +4,7 @@
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRowStore;
+import org.forkseam.direct.spi.SharedRows;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -29,11 +29,11 @@
     /** Rows are removed after this time. */
     private static final long RETENTION_MILLIS = 600_000;
 
-    private final SharedRowStore mRows;
+    private final SharedRows mRows;
     private final Supplier<OptionalLong> mStoreMillis;
     private final Map<String, Long> mWrittenAt = BoundedMap.byInsertion(2 * MAX_ROWS);
 
-    SuspectRows(SharedRowStore rows, Supplier<OptionalLong> storeMillis) {
+    SuspectRows(SharedRows rows, Supplier<OptionalLong> storeMillis) {
         mRows = rows;
         mStoreMillis = storeMillis;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
@@ -68,7 +68,7 @@
             record(t, Signal.REPLACED_BY_ANSWER, t.onReplaced());
             return;
         }
-        TargetWord word = head.word();
+        TargetWord word = head.signal();
         if (word.isNone()) {
             return;
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/ResponseHead.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/ResponseHead.java
@@ -14,7 +14,7 @@
  * @param wrongTarget whether a different target than expected listens at the address
  * @param load number of requests running and queued at the target
  * @param keepAliveMillis how long the target keeps an idle connection
- * @param word the target's statement on whether it accepts further requests
+ * @param signal the target's statement on whether it accepts further requests
  * @since 0.2
  */
 public record ResponseHead(
@@ -23,4 +23,4 @@
         boolean wrongTarget,
         OptionalInt load,
         OptionalLong keepAliveMillis,
-        TargetWord word) {}
+        TargetWord signal) {}
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/SharedRowStore.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/SharedRows.java
@@ -11,7 +11,7 @@
  *
  * @since 0.2
  */
-public interface SharedRowStore {
+public interface SharedRows {
     /** Reads all rows. */
     CompletableFuture<Versioned<List<SharedRow>>> readAll();
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/SourceException.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/SourceException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.concurrent.CompletionException;
 
-/** Thrown when a {@link FleetSource} or {@link SharedRowStore} returns no usable response. */
+/** Thrown when a {@link FleetSource} or {@link SharedRows} returns no usable response. */
 public final class SourceException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
@@ -12,7 +12,7 @@
 import org.forkseam.core.util.Hashes;
 import org.forkseam.direct.know.Quarantine.Verdict;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRowStore;
+import org.forkseam.direct.spi.SharedRows;
 import org.forkseam.direct.spi.SourceException;
 import org.forkseam.direct.spi.Versioned;
 import org.junit.jupiter.api.AfterEach;
@@ -47,7 +47,7 @@
     private static final long STORE_CLOCK_OFFSET_MILLIS = 7_000_000;
 
     /** In-memory store shared by several routers. */
-    private static final class FakeSharedRows implements SharedRowStore {
+    private static final class FakeSharedRows implements SharedRows {
         private final Map<String, SharedRow> mAll = new ConcurrentSkipListMap<>();
         private final AtomicLong mRevision = new AtomicLong(1);
         private volatile boolean mUnavailable;
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
@@ -9,7 +9,7 @@
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.spi.SharedRow;
-import org.forkseam.direct.spi.SharedRowStore;
+import org.forkseam.direct.spi.SharedRows;
 import org.forkseam.direct.spi.SourceException;
 import org.forkseam.direct.spi.Versioned;
 import org.junit.jupiter.api.AfterEach;
@@ -34,7 +34,7 @@
     private static final InetSocketAddress OTHER = new InetSocketAddress("127.0.0.1", 6_000);
 
     /** Store whose long polls never complete and whose history is unavailable. */
-    private static final class FakeSharedRows implements SharedRowStore {
+    private static final class FakeSharedRows implements SharedRows {
         private final List<SharedRow> mAll = new CopyOnWriteArrayList<>();
         private volatile int mLongPolls;
         private volatile int mReads;
