--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/FailureResponder.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/FailureResponder.java
@@ -33,7 +33,7 @@
         if (failIfMayHaveRun(reason, a, streaming)) {
             return;
         }
-        long retryAfter = mContext.comeBack(a.pool()).onRefused(mContext.now());
+        long retryAfter = mContext.retryDelay(a.pool()).onRefused(mContext.now());
         OptionalLong availableIn = mTargetSelection.availableInMillis(a);
         if (availableIn.isPresent()) {
             mResponse.refuseUntil(reason, availableIn.getAsLong());
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
@@ -354,7 +354,7 @@
     // ---------------------------------------------------------------- completion
 
     private void finishAnswered(Attempt a) {
-        mContext.comeBack(pool()).onServed(mContext.now());
+        mContext.retryDelay(pool()).onServed(mContext.now());
         mTargetSelection.onAnswered(pool(), a.target());
         if (route().kind().isStream() && mStreaming) {
             mResponse.completeStream();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
@@ -23,7 +23,7 @@
     private final Knowledge mKnowledge;
     private final TargetConnections mTargetConnections;
     private Selectors mSelectors;
-    private final ColdGate mColdGate;
+    private final ColdGate mColdStartLimiter;
     private final CrashDetector mCrashDetector;
     private final RetryBudgets mRetryBudgets;
     private final ResponseFactory mResponses;
@@ -32,7 +32,7 @@
     private final RequestQueue mRequestQueue;
     private final EventLoopLag mLoopLag;
     private final Timer mTimer;
-    private final Map<String, ComeBack> mComeBack = new HashMap<>();
+    private final Map<String, ComeBack> mRetryDelays = new HashMap<>();
     private final Map<String, ErrorRate> mErrorRates = new HashMap<>();
     private final Set<RequestFlow> mActiveRequests = new LinkedHashSet<>();
     private final Set<CallerConnection> mConnections = new LinkedHashSet<>();
@@ -70,7 +70,7 @@
             Knowledge knowledge,
             TargetConnections targetConnections,
             Selectors selectors,
-            ColdGate coldGate,
+            ColdGate coldStartLimiter,
             RetryBudgets retryBudgets,
             ResponseFactory responses,
             RequestMeters meters,
@@ -84,7 +84,7 @@
         mKnowledge = p.knowledge();
         mTargetConnections = p.targetConnections();
         mSelectors = p.selectors();
-        mColdGate = p.coldGate();
+        mColdStartLimiter = p.coldStartLimiter();
         mCrashDetector = new CrashDetector(p.targetConnections(), p.knowledge().quarantine());
         mRetryBudgets = p.retryBudgets();
         mResponses = p.responses();
@@ -112,8 +112,8 @@
     }
 
     /** Returns the retry delay estimator of a pool. */
-    ComeBack comeBack(String pool) {
-        return mComeBack.computeIfAbsent(pool, p -> ComeBack.since(now()));
+    ComeBack retryDelay(String pool) {
+        return mRetryDelays.computeIfAbsent(pool, p -> ComeBack.since(now()));
     }
 
     /** Returns the error rate of a pool. */
@@ -149,8 +149,8 @@
         mSelectors = selectors;
     }
 
-    ColdGate coldGate() {
-        return mColdGate;
+    ColdGate coldStartLimiter() {
+        return mColdStartLimiter;
     }
 
     CrashDetector crashDetector() {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
@@ -200,7 +200,7 @@
                     mBounds = bounds;
                     mContext.setSelectors(
                             mContext.selectors().withEnginePicker(homePicker(bounds)));
-                    mContext.coldGate().setOvershoot(bounds.coldOvershoot());
+                    mContext.coldStartLimiter().setOvershoot(bounds.coldOvershoot());
                     mContext.retryBudgets().setBounds(retryBounds(bounds));
                 });
     }
@@ -229,7 +229,7 @@
         m.put("callers", mContext.connections().size());
         m.put("target_connections", mContext.targetConnections().openCount());
         m.put("target_connections_opened", mContext.targetConnections().openedCount());
-        m.put("cold_passed_over", mContext.coldGate().passedOver());
+        m.put("cold_passed_over", mContext.coldStartLimiter().passedOver());
         m.put("target_crashes", mContext.crashDetector().crashCount());
         m.put("leaving", mContext.isDraining());
         m.put("targets", mKnowledge.targets().all().stream().map(this::dump).toList());
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
@@ -60,7 +60,7 @@
         String pool = admission.pool();
         ColdStart cold = coldStart(admission);
         List<Target> all = allowedTargets(admission);
-        List<Target> admitted = mContext.coldGate().admitted(all, cold, now);
+        List<Target> admitted = mContext.coldStartLimiter().admitted(all, cold, now);
         int resting = all.size() - admitted.size() + countResting(admitted, now);
         CandidateFilter.Candidates c =
                 mContext.selectors().candidateFilter().of(admitted, mTried, now);
@@ -92,7 +92,7 @@
 
     private void onPick(String pool, Pick p, ColdStart cold, long now) {
         mTried.add(p.target().entry().id());
-        mContext.coldGate().onSent(p.target(), cold, now);
+        mContext.coldStartLimiter().onSent(p.target(), cold, now);
         mContext.knowledge().seats().onPick(pool, p.reason());
     }
 
