--- a/forkseam-bench/src/main/java/org/forkseam/bench/DecisionBenchmark.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/DecisionBenchmark.java
@@ -4,12 +4,12 @@
 import org.forkseam.core.label.Labels;
 import org.forkseam.core.label.Selector;
 import org.forkseam.core.load.LoadDigest;
+import org.forkseam.core.route.CacheAwarePlacement;
 import org.forkseam.core.route.Candidate;
 import org.forkseam.core.route.ChatTicket;
 import org.forkseam.core.route.PlacementRequest;
 import org.forkseam.core.route.PoolView;
 import org.forkseam.core.route.PrefixDirectory;
-import org.forkseam.core.route.StdPlacement;
 import org.forkseam.core.route.TargetView;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
@@ -48,8 +48,8 @@
     public int mTargets;
 
     private final SplittableRandom mRandom = new SplittableRandom(1);
-    private final StdPlacement mPlacement =
-            StdPlacement.of(PrefixDirectory.of(PrefixDirectory.DEFAULT_SIZE), mRandom);
+    private final CacheAwarePlacement mPlacement =
+            CacheAwarePlacement.of(PrefixDirectory.of(PrefixDirectory.DEFAULT_SIZE), mRandom);
     private final List<TargetView> mViews = new ArrayList<>();
     private PoolView mPool;
     private long mNow = 1_000_000;
--- a/forkseam-core/src/main/java/org/forkseam/core/route/Candidate.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/Candidate.java
@@ -1,33 +1,33 @@
 package org.forkseam.core.route;
 
 /**
- * Holds one target that may serve a request, with its score in parts.
+ * Holds a target that may serve a request, with the parts of its score.
  *
  * @param target the target
- * @param score higher goes first
- * @param savedTokens prompt tokens expected to be cached there
- * @param load the load reckoned with
- * @param limit the most it may carry by the pool's bound
- * @param why what made it a candidate
+ * @param score ranks candidates; higher is better
+ * @param savedTokens prompt tokens expected to be cached at the target
+ * @param load the target's estimated load
+ * @param limit the highest load allowed by the pool's bound
+ * @param reason why the target is a candidate
  */
 public record Candidate(
-        TargetView target, double score, double savedTokens, int load, int limit, Why why) {
-    /** Says what made a target a candidate. */
-    public enum Why {
-        /** The chat's ticket names it. */
+        TargetView target, double score, double savedTokens, int load, int limit, Reason reason) {
+    /** Tells why a target is a candidate. */
+    public enum Reason {
+        /** The request's ticket names it. */
         TICKET,
-        /** The chat's home by hash, or one of the next. */
+        /** It is one of the chat's homes by hash. */
         HOME,
-        /** It holds the prompt's shared beginning. */
+        /** It recently served the prompt's shared prefix. */
         SHARED_PREFIX,
-        /** It was drawn for its low load. */
+        /** It was sampled at random for its load. */
         LOW_LOAD,
-        /** The placement does not score. */
+        /** The placement does not score candidates. */
         UNSCORED
     }
 
-    /** Returns whether the target can take the request by what this router knows. */
-    public boolean hasRoom() {
+    /** Returns whether one more request keeps the target within its limit. */
+    public boolean hasCapacity() {
         return load + 1 <= limit;
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/route/CandidateFilter.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/CandidateFilter.java
@@ -8,17 +8,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Leaves out the targets that cannot or should not take a request.
+ * Removes targets that cannot or should not take a request.
  *
- * <p>Targets that take no work or were tried already are left out always. Those that seem sick are
- * left out only while most of the pool seems well: when most seem sick, the view is more likely
- * wrong than the pool, and all are used.
+ * <p>Targets that accept no work or were already tried are always removed. Unhealthy targets are
+ * removed unless more than half of the pool looks unhealthy (panic mode): then the health data is
+ * more likely to be wrong than the pool, and all are kept. Not thread-safe.
  *
  * @since 0.2
  */
 public final class CandidateFilter {
-    /** Below this share of healthy targets the view of health is distrusted. */
-    private static final double TRUSTED_SHARE = 0.5;
+    /** Fraction of healthy targets below which health is ignored. */
+    private static final double PANIC_THRESHOLD = 0.5;
 
     private final RandomGenerator mRandom;
 
@@ -35,9 +35,9 @@
      * Returns the targets that may take a request.
      *
      * @param pool all targets of the pool
-     * @param tried ids of targets that this request was sent to already
+     * @param tried ids of targets to which this request was already sent
      */
-    public Candidates of(List<Target> pool, Set<String> tried, long nowMillis) {
+    public Candidates apply(List<Target> pool, Set<String> tried, long nowMillis) {
         List<Target> usable = new ArrayList<>(pool.size());
         List<Target> healthy = new ArrayList<>(pool.size());
         for (Target t : pool) {
@@ -49,7 +49,7 @@
                 healthy.add(t);
             }
         }
-        boolean trusted = healthy.size() >= TRUSTED_SHARE * usable.size();
+        boolean trusted = healthy.size() >= PANIC_THRESHOLD * usable.size();
         return new Candidates(trusted ? healthy : usable, trusted);
     }
 
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Holds the targets left.
+     * Holds the result of filtering.
      *
-     * @param targets those that may take the request
-     * @param trusted whether the view of their health was used
+     * @param targets the targets that may take the request
+     * @param healthTrusted whether unhealthy targets were removed
      */
-    public record Candidates(List<Target> targets, boolean trusted) {}
+    public record Candidates(List<Target> targets, boolean healthTrusted) {}
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/route/HomeTable.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/HomeTable.java
@@ -9,145 +9,152 @@
 import java.util.Map;
 
 /**
- * Answers at once which targets are a chat's homes, best first.
+ * Looks up the homes of a chat, in order of preference.
  *
- * <p>The key space is cut into a fixed number of slots, the same on every router, and each slot
- * keeps its first few targets by weighted rendezvous hashing. Routers with the same members so
- * agree without any message, and a target that joins or leaves moves only its own share of slots.
- * Looking up costs the same for 12 targets as for 830. Immutable.
+ * <p>The key space is divided into a fixed number of buckets. Each stores its first few targets by
+ * weighted rendezvous hashing. Routers with the same members agree without communication, and a
+ * target that joins or leaves moves only its share of the buckets. Lookup takes constant time.
+ * Immutable.
  *
  * @since 0.1
  */
 public final class HomeTable {
-    /** Slots of the key space; never changed, or chats would move. */
-    static final int SLOTS = 1 << 14;
+    /** The number of buckets; a change would move chats. */
+    static final int BUCKETS = 1 << 14;
 
-    /** Homes kept for each slot. */
-    static final int DEPTH = 4;
+    /** The highest number of homes per bucket. */
+    static final int MAX_HOMES = 4;
 
     private final List<Member> mMembers;
-    private final short[] mSlots;
-    private final int mDepth;
+    private final short[] mHomes;
+    private final int mHomesPerKey;
 
     /**
-     * Names one target of the table.
+     * Describes a target of the table.
      *
      * @param name the target's name
-     * @param capacity its weight
+     * @param capacity the target's weight
      */
     public record Member(String name, int capacity) {}
 
-    private HomeTable(List<Member> members, short[] slots, int depth) {
+    private HomeTable(List<Member> members, short[] homes, int depth) {
         mMembers = members;
-        mSlots = slots;
-        mDepth = depth;
+        mHomes = homes;
+        mHomesPerKey = depth;
     }
 
-    /** Builds the table of a set of members. */
+    /** Builds the table for a set of members. */
     public static HomeTable of(List<Member> members) {
         return build(members, null);
     }
 
-    /** Builds the table of a changed set of members, counting anew only the slots that changed. */
+    /** Builds the table for a changed set of members, recomputing only the buckets affected. */
     public HomeTable with(List<Member> members) {
         return members.equals(mMembers) ? this : build(members, this);
     }
 
     private static HomeTable build(List<Member> members, HomeTable old) {
         int n = members.size();
-        int depth = Math.min(DEPTH, n);
+        int depth = Math.min(MAX_HOMES, n);
         long[] hashes = new long[n];
         for (int i = 0; i < n; i++) {
             hashes[i] = Hashes.of(members.get(i).name());
         }
-        short[] slots = new short[SLOTS * depth];
-        Reuse reuse = old == null ? null : Reuse.of(old, members, depth);
+        short[] homes = new short[BUCKETS * depth];
+        IncrementalBuild incremental =
+                old == null ? null : IncrementalBuild.of(old, members, depth);
         short[] all = new short[n];
         for (int i = 0; i < n; i++) {
             all[i] = (short) i;
         }
-        for (int s = 0; s < SLOTS; s++) {
-            short[] among = reuse == null ? all : reuse.contenders(s, all);
-            fill(members, hashes, slots, s, depth, among);
+        for (int bucket = 0; bucket < BUCKETS; bucket++) {
+            short[] candidates = incremental == null ? all : incremental.candidates(bucket, all);
+            rankBucket(members, hashes, homes, bucket, depth, candidates);
         }
-        return new HomeTable(List.copyOf(members), slots, depth);
+        return new HomeTable(List.copyOf(members), homes, depth);
     }
 
-    private static void fill(
-            List<Member> members, long[] hashes, short[] slots, int s, int depth, short[] among) {
+    private static void rankBucket(
+            List<Member> members,
+            long[] hashes,
+            short[] homes,
+            int bucket,
+            int depth,
+            short[] candidates) {
         double[] best = new double[depth];
         Arrays.fill(best, Double.NEGATIVE_INFINITY);
-        long key = Hashes.mix(s, SLOTS);
-        for (short i : among) {
+        long key = Hashes.mix(bucket, BUCKETS);
+        for (short i : candidates) {
             double score = Rendezvous.score(key, hashes[i], members.get(i).capacity());
-            int at = depth;
-            while (at > 0 && score > best[at - 1]) {
-                at--;
+            int position = depth;
+            while (position > 0 && score > best[position - 1]) {
+                position--;
             }
-            if (at == depth) {
+            if (position == depth) {
                 continue;
             }
-            int base = s * depth;
-            for (int j = depth - 1; j > at; j--) {
+            int base = bucket * depth;
+            for (int j = depth - 1; j > position; j--) {
                 best[j] = best[j - 1];
-                slots[base + j] = slots[base + j - 1];
+                homes[base + j] = homes[base + j - 1];
             }
-            best[at] = score;
-            slots[base + at] = i;
+            best[position] = score;
+            homes[base + position] = i;
         }
     }
 
-    /** Returns the number of homes each key has. */
-    public int depth() {
-        return mDepth;
+    /** Returns the number of homes of each key. */
+    public int homesPerKey() {
+        return mHomesPerKey;
     }
 
-    /** Returns the index, in the order of the members given, of a key's home of some rank. */
+    /** Returns the index in {@link #members} of a key's home of the given rank. */
     public int home(long key, int rank) {
-        int slot = (int) (Hashes.mix(key, 1) & (SLOTS - 1));
-        return mSlots[slot * mDepth + rank];
+        int bucket = (int) (Hashes.mix(key, 1) & (BUCKETS - 1));
+        return mHomes[bucket * mHomesPerKey + rank];
     }
 
-    /** Returns the members in the order that indexes refer to. */
+    /** Returns the members in the order of their indexes. */
     public List<Member> members() {
         return mMembers;
     }
 
-    /** Tells which members can be in a slot's list after a change. */
-    private record Reuse(HomeTable old, short[] newIndexOfOld, short[] added, int depth) {
-        static Reuse of(HomeTable old, List<Member> members, int depth) {
+    /** Determines which members can be among a bucket's homes after a change. */
+    private record IncrementalBuild(
+            HomeTable old, short[] newIndexOfOld, short[] added, int depth) {
+        static IncrementalBuild of(HomeTable old, List<Member> members, int depth) {
             Map<Member, Short> index = new HashMap<>();
             for (int i = 0; i < members.size(); i++) {
                 index.put(members.get(i), (short) i);
             }
-            short[] map = new short[old.mMembers.size()];
-            for (int i = 0; i < map.length; i++) {
-                Short now = index.remove(old.mMembers.get(i));
-                map[i] = now == null ? -1 : now;
+            short[] newIndexes = new short[old.mMembers.size()];
+            for (int i = 0; i < newIndexes.length; i++) {
+                Short newIndex = index.remove(old.mMembers.get(i));
+                newIndexes[i] = newIndex == null ? -1 : newIndex;
             }
-            List<Short> rest = new ArrayList<>(index.values());
-            short[] added = new short[rest.size()];
+            List<Short> remaining = new ArrayList<>(index.values());
+            short[] added = new short[remaining.size()];
             for (int i = 0; i < added.length; i++) {
-                added[i] = rest.get(i);
+                added[i] = remaining.get(i);
             }
-            return new Reuse(old, map, added, depth);
+            return new IncrementalBuild(old, newIndexes, added, depth);
         }
 
-        /** A slot that lost nobody needs only its old list and the newcomers. */
-        short[] contenders(int slot, short[] all) {
-            if (old.mDepth != depth) {
+        /** A bucket that lost no member only needs its previous homes and the members added. */
+        short[] candidates(int bucket, short[] all) {
+            if (old.mHomesPerKey != depth) {
                 return all;
             }
-            short[] c = new short[depth + added.length];
+            short[] candidates = new short[depth + added.length];
             for (int i = 0; i < depth; i++) {
-                short now = newIndexOfOld[old.mSlots[slot * depth + i]];
-                if (now < 0) {
+                short newIndex = newIndexOfOld[old.mHomes[bucket * depth + i]];
+                if (newIndex < 0) {
                     return all;
                 }
-                c[i] = now;
+                candidates[i] = newIndex;
             }
-            System.arraycopy(added, 0, c, depth, added.length);
-            return c;
+            System.arraycopy(added, 0, candidates, depth, added.length);
+            return candidates;
         }
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/route/LeastLoadedPicker.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/LeastLoadedPicker.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses the target that holds the fewest requests for its slots, at random among equals.
+ * Picks the target with the fewest requests per slot, at random among equals. Not thread-safe.
  *
  * @since 0.2
  */
@@ -27,7 +27,7 @@
     public Optional<Pick> pick(PickRequest request, List<Target> candidates, long now) {
         Target best = null;
         double bestLoad = Double.MAX_VALUE;
-        int equals = 0;
+        int ties = 0;
         for (Target t : candidates) {
             double load =
                     (double) (t.inFlight() + t.othersInFlight(now))
@@ -35,9 +35,9 @@
             if (load > bestLoad) {
                 continue;
             }
-            equals = load < bestLoad ? 1 : equals + 1;
+            ties = load < bestLoad ? 1 : ties + 1;
             bestLoad = load;
-            if (equals == 1 || mRandom.nextInt(equals) == 0) {
+            if (ties == 1 || mRandom.nextInt(ties) == 0) {
                 best = t;
             }
         }
--- a/forkseam-core/src/main/java/org/forkseam/core/route/Pick.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/Pick.java
@@ -3,23 +3,23 @@
 import org.forkseam.core.member.Target;
 
 /**
- * Names the target chosen for a request, and why.
+ * Holds the target picked for a request.
  *
- * @param target the choice
- * @param rank place in the order of preference, 0 the first
- * @param reason what decided
- * @param load requests the target holds as far as known
+ * @param target the target
+ * @param rank position of the target in the order of preference, starting at 0
+ * @param reason why the target was picked
+ * @param load requests known to be at the target
  */
 public record Pick(Target target, int rank, Reason reason, int load) {
-    /** Says what decided a choice. */
+    /** Tells why a target was picked. */
     public enum Reason {
-        /** The first in the order of preference could take it. */
+        /** It is the first in the order of preference. */
         HOME,
-        /** Those before were over the bound on load. */
+        /** Those preferred were over their load bound. */
         SPILL,
-        /** It held the fewest requests. */
+        /** It has the lowest load. */
         LEAST_LOADED,
-        /** All healthy ones were over their bound. */
+        /** All candidates are over their load bound; this one has the lowest load. */
         ALL_LOADED
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/route/PlacementRequest.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/PlacementRequest.java
@@ -3,24 +3,25 @@
 import java.util.Optional;
 
 /**
- * Holds what placement may know of a request.
+ * Holds the properties of a request that placement uses.
  *
  * @param chat hash of the chat's id
  * @param promptTokens estimated tokens of the whole prompt
- * @param sharedPrefix hash of the first message, which chats of one team often share; 0 if none
+ * @param sharedPrefix hash of the first message, which is often shared by the chats of a team; 0 if
+ *     there is none
  * @param sharedTokens estimated tokens of that message
- * @param returning whether the prompt holds earlier answers
- * @param ticket where the chat was last served, if the caller brought it
+ * @param hasHistory whether the prompt contains earlier answers
+ * @param ticket where the chat was last served, if the client sent a ticket
  */
 public record PlacementRequest(
         long chat,
         int promptTokens,
         long sharedPrefix,
         int sharedTokens,
-        boolean returning,
+        boolean hasHistory,
         Optional<ChatTicket> ticket) {
 
-    /** Returns a request to a plain service, which has no prompt. */
+    /** Returns a request to a service without prompts. */
     public static PlacementRequest ofService(long key) {
         return new PlacementRequest(key, 0, 0, 0, false, Optional.empty());
     }
--- a/forkseam-core/src/main/java/org/forkseam/core/route/PoolView.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/PoolView.java
@@ -12,10 +12,10 @@
 import java.util.Optional;
 
 /**
- * Holds what one router believes of one pool: its targets and their homes table.
+ * Holds a router's view of a pool: its targets and their home table.
  *
- * <p>A target that leaves stays in the homes table until the host list drops it, so that a flap
- * moves no chat. Not thread-safe.
+ * <p>A leaving target stays in the home table until the host list drops it, so that a target that
+ * leaves and returns moves no chats. Not thread-safe.
  *
  * @since 0.1
  */
@@ -23,46 +23,46 @@
     private final PoolSpec mSpec;
     private final List<TargetView> mTargets;
     private final Map<String, TargetView> mByName = new HashMap<>();
-    private final Optional<HomeTable> mOlderHomes;
+    private final Optional<HomeTable> mPreviousHomes;
     private HomeTable mHomes;
     private final long mTotalCapacity;
-    private long mSumAtMillis = Long.MIN_VALUE;
-    private long mSum;
+    private long mTotalLoadAtMillis = Long.MIN_VALUE;
+    private long mTotalLoad;
 
-    private PoolView(PoolSpec spec, List<TargetView> targets, Optional<HomeTable> olderHomes) {
+    private PoolView(PoolSpec spec, List<TargetView> targets, Optional<HomeTable> previousHomes) {
         mSpec = spec;
         mTargets = targets;
-        mOlderHomes = olderHomes;
+        mPreviousHomes = previousHomes;
         targets.forEach(t -> mByName.put(t.name(), t));
         mTotalCapacity = targets.stream().mapToLong(TargetView::capacity).sum();
     }
 
-    /** Creates the view of a pool with these members. */
+    /** Creates a view of a pool with the given members. */
     public static PoolView of(PoolSpec spec, Collection<TargetView> members) {
-        List<TargetView> sorted = sort(members);
+        List<TargetView> sorted = sortByName(members);
         return new PoolView(spec, sorted, Optional.empty());
     }
 
-    /** Returns the view of the same pool with changed members. */
+    /** Returns a view of the same pool with changed members. */
     public PoolView with(PoolSpec spec, Collection<TargetView> members) {
-        List<TargetView> sorted = sort(members);
-        Optional<HomeTable> older = mHomes == null ? mOlderHomes : Optional.of(mHomes);
-        return new PoolView(spec, sorted, older);
+        List<TargetView> sorted = sortByName(members);
+        Optional<HomeTable> previous = mHomes == null ? mPreviousHomes : Optional.of(mHomes);
+        return new PoolView(spec, sorted, previous);
     }
 
-    private static List<TargetView> sort(Collection<TargetView> members) {
+    private static List<TargetView> sortByName(Collection<TargetView> members) {
         List<TargetView> sorted = new ArrayList<>(members);
         sorted.sort(Comparator.comparing(TargetView::name));
         return List.copyOf(sorted);
     }
 
-    private static List<HomeTable.Member> table(List<TargetView> sorted) {
+    private static List<HomeTable.Member> tableMembers(List<TargetView> sorted) {
         return sorted.stream().map(t -> new HomeTable.Member(t.name(), t.capacity())).toList();
     }
 
     // ---------------------------------------------------------------- accessors
 
-    /** Returns the pool as declared. */
+    /** Returns the pool's declaration. */
     public PoolSpec spec() {
         return mSpec;
     }
@@ -77,43 +77,43 @@
         return Optional.ofNullable(mByName.get(name));
     }
 
-    /** Returns the target that is a chat's home of some rank. */
+    /** Returns a chat's home of the given rank. */
     public TargetView home(long chat, int rank) {
-        return mTargets.get(homes().home(chat, rank));
+        return mTargets.get(homeTable().home(chat, rank));
     }
 
-    /** Returns how many homes each chat has. */
+    /** Returns the number of homes of each chat. */
     public int homeCount() {
-        return homes().depth();
+        return homeTable().homesPerKey();
     }
 
-    /** Sidecars never ask for homes, so the table is made at the first question. */
-    private HomeTable homes() {
+    /** Built lazily, since sidecars do not use it. */
+    private HomeTable homeTable() {
         if (mHomes == null) {
-            List<HomeTable.Member> t = table(mTargets);
-            mHomes = mOlderHomes.map(o -> o.with(t)).orElseGet(() -> HomeTable.of(t));
+            List<HomeTable.Member> t = tableMembers(mTargets);
+            mHomes = mPreviousHomes.map(o -> o.with(t)).orElseGet(() -> HomeTable.of(t));
         }
         return mHomes;
     }
 
-    /** Returns the capacity of the whole pool. */
+    /** Returns the total capacity of the pool. */
     public long totalCapacity() {
         return mTotalCapacity;
     }
 
-    /** Returns the load of the whole pool; summed at most once a millisecond. */
+    /** Returns the total load of the pool; computed at most once per millisecond. */
     public long totalLoad(long nowMillis) {
-        if (nowMillis != mSumAtMillis) {
-            mSumAtMillis = nowMillis;
-            mSum = 0;
+        if (nowMillis != mTotalLoadAtMillis) {
+            mTotalLoadAtMillis = nowMillis;
+            mTotalLoad = 0;
             for (TargetView t : mTargets) {
-                mSum += t.estimatedLoad(nowMillis);
+                mTotalLoad += t.estimatedLoad(nowMillis);
             }
         }
-        return mSum;
+        return mTotalLoad;
     }
 
-    /** Returns the most that a target may carry with one request more in the pool. */
+    /** Returns the highest load allowed for a target if one more request is placed in the pool. */
     public int limit(TargetView target, long nowMillis) {
         return LoadBound.limit(
                 mSpec.maxLoadMultiple(),
@@ -122,13 +122,13 @@
                 mTotalCapacity);
     }
 
-    /** Returns the mean load of a unit of capacity. */
+    /** Returns the mean load per unit of capacity. */
     public double meanPerCapacity(long nowMillis) {
         return mTotalCapacity == 0 ? 0 : (double) totalLoad(nowMillis) / mTotalCapacity;
     }
 
-    /** Returns whether so many targets look dead that the view itself must be doubted. */
-    public boolean isDoubtful(long nowMillis) {
+    /** Returns whether more than half of the targets look dead, so that health data is ignored. */
+    public boolean isInPanicMode(long nowMillis) {
         int dead = 0;
         for (TargetView t : mTargets) {
             if (t.health().share(nowMillis) == 0) {
--- a/forkseam-core/src/main/java/org/forkseam/core/route/PrefixDirectory.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/PrefixDirectory.java
@@ -7,60 +7,60 @@
 import java.util.Map;
 
 /**
- * Remembers which targets lately served a shared prompt beginning.
+ * Tracks which targets recently served a shared prompt prefix.
  *
- * <p>Bounded: the beginnings used longest ago are forgotten, and each keeps only its last few
- * targets, so that a popular beginning spreads with the load. Not thread-safe.
+ * <p>Bounded: evicts the least recently used prefix and keeps only the last few targets of each, so
+ * that a popular prefix spreads with the load. Not thread-safe.
  *
  * @since 0.1
  */
 public final class PrefixDirectory {
-    /** Beginnings remembered: some 200 bytes each. */
+    /** Default number of prefixes, of about 200 bytes each. */
     public static final int DEFAULT_SIZE = 4096;
 
-    private static final int TARGETS_KEPT = 4;
+    private static final int MAX_TARGETS_PER_PREFIX = 4;
 
     private final Map<Long, Entry[]> mEntries;
 
-    /** Names a target that served a beginning, and when. */
+    /** Records when a target last served a prefix. */
     record Entry(String target, long atMillis) {}
 
     private PrefixDirectory(int size) {
         mEntries = BoundedMap.byAccess(size);
     }
 
-    /** Creates a directory of at most so many beginnings. */
+    /** Creates a directory of at most {@code size} prefixes. */
     public static PrefixDirectory of(int size) {
         return new PrefixDirectory(size);
     }
 
-    /** Notes that a target served a beginning. */
+    /** Records that a target served a prefix. */
     public void onServed(long prefix, String target, long nowMillis) {
         if (prefix == 0) {
             return;
         }
-        Entry[] kept = mEntries.computeIfAbsent(prefix, k -> new Entry[TARGETS_KEPT]);
-        int at = TARGETS_KEPT - 1;
-        for (int i = 0; i < TARGETS_KEPT; i++) {
-            if (kept[i] == null || kept[i].target().equals(target)) {
-                at = i;
+        Entry[] entries = mEntries.computeIfAbsent(prefix, k -> new Entry[MAX_TARGETS_PER_PREFIX]);
+        int index = MAX_TARGETS_PER_PREFIX - 1;
+        for (int i = 0; i < MAX_TARGETS_PER_PREFIX; i++) {
+            if (entries[i] == null || entries[i].target().equals(target)) {
+                index = i;
                 break;
             }
         }
-        System.arraycopy(kept, 0, kept, 1, at);
-        kept[0] = new Entry(target, nowMillis);
+        System.arraycopy(entries, 0, entries, 1, index);
+        entries[0] = new Entry(target, nowMillis);
     }
 
-    /** Returns the targets that served a beginning, the latest first. */
+    /** Returns the targets that served a prefix, most recent first. */
     List<Entry> holders(long prefix) {
-        Entry[] kept = prefix == 0 ? null : mEntries.get(prefix);
-        if (kept == null) {
+        Entry[] entries = prefix == 0 ? null : mEntries.get(prefix);
+        if (entries == null) {
             return List.of();
         }
         int n = 0;
-        while (n < TARGETS_KEPT && kept[n] != null) {
+        while (n < MAX_TARGETS_PER_PREFIX && entries[n] != null) {
             n++;
         }
-        return Arrays.asList(kept).subList(0, n);
+        return Arrays.asList(entries).subList(0, n);
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/route/Rendezvous.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/Rendezvous.java
@@ -3,7 +3,9 @@
 import org.forkseam.core.util.Hashes;
 
 /**
- * Gives the weight of a target for a key by weighted rendezvous (highest random weight) hashing.
+ * Computes scores for weighted rendezvous (highest random weight) hashing.
+ *
+ * <p>Stateless.
  *
  * @since 0.1
  */
@@ -12,7 +14,7 @@
 
     private Rendezvous() {}
 
-    /** Returns the score; the target with the highest is the key's home. */
+    /** Returns a target's score for a key; the target with the highest score is the key's home. */
     public static double score(long key, long targetHash, double weight) {
         long h = Hashes.mix(key, targetHash);
         double u = ((h >>> 11) + 0.5) * UNIT;
--- a/forkseam-core/src/main/java/org/forkseam/core/route/TargetPicker.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/TargetPicker.java
@@ -6,16 +6,16 @@
 import java.util.Optional;
 
 /**
- * Chooses a target for a request. Implementations hold no state of requests.
+ * Picks a target for a request. Implementations keep no state about requests.
  *
  * @since 0.2
  */
 public interface TargetPicker {
     /**
-     * Chooses among candidates, or returns empty if there are none.
+     * Picks one of the candidates; empty if there are none.
      *
-     * @param request what the target is wanted for
-     * @param candidates targets that may take the request, at least one for a result
+     * @param request the request to place
+     * @param candidates targets that may take the request
      */
     Optional<Pick> pick(PickRequest request, List<Target> candidates, long nowMillis);
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/route/TargetView.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/TargetView.java
@@ -7,9 +7,9 @@
 import java.util.Optional;
 
 /**
- * Holds what one router believes of one target.
+ * Holds a router's view of a target.
  *
- * <p>All of it is soft state: wrong beliefs cost a refusal and a second try, never a promise. Not
+ * <p>This is soft state: if it is wrong, a request is refused and retried elsewhere. Not
  * thread-safe; used on the router's event loop.
  *
  * @since 0.1
@@ -30,7 +30,7 @@
     private int mInFlight;
     private int mInFlightAtDigest;
     private boolean mLeaving;
-    private double mCacheLifetime = DEFAULT_LIFETIME_MILLIS;
+    private double mCacheLifetimeMillis = DEFAULT_LIFETIME_MILLIS;
 
     private TargetView(
             String name, String failureDomain, String address, Labels labels, int capacity) {
@@ -41,7 +41,7 @@
         mCapacity = capacity;
     }
 
-    /** Creates a view of a target of which nothing has been heard yet. */
+    /** Creates a view of a target about which nothing is known yet. */
     public static TargetView of(
             String name, String failureDomain, String address, Labels labels, int capacity) {
         return new TargetView(name, failureDomain, address, labels, capacity);
@@ -54,7 +54,7 @@
         return mName;
     }
 
-    /** Returns the failure domain the target's host is in. */
+    /** Returns the failure domain of the target's host. */
     public String failureDomain() {
         return mFailureDomain;
     }
@@ -64,46 +64,49 @@
         return mAddress;
     }
 
-    /** Returns the target's labels, with those operators gave it. */
+    /** Returns the target's labels, including those set by operators. */
     public Labels labels() {
         return mLabels;
     }
 
-    /** Returns how many requests the target runs at once. */
+    /** Returns how many requests the target runs concurrently. */
     public int capacity() {
         return mCapacity;
     }
 
-    /** Returns what recent outcomes say of the target. */
+    /** Returns the target's health, based on recent outcomes. */
     public TargetHealth health() {
         return mHealth;
     }
 
-    /** Returns the newest digest heard. */
+    /** Returns the newest digest received. */
     public Optional<LoadDigest> digest() {
         return Optional.ofNullable(mDigest);
     }
 
-    /** Returns requests of this router's that the target has not answered yet. */
+    /** Returns the number of this router's requests in flight at the target. */
     public int inFlight() {
         return mInFlight;
     }
 
     /**
-     * Returns whether the target takes no new work, by the host list or by its own word. Its own
-     * word is believed for a while only: a target that stays after all is then tried again.
+     * Returns whether the target accepts no new work, according to the host list, operators or a
+     * recent digest. A digest expires, so that a target that stays after all is tried again.
      */
     public boolean isLeaving(long nowMillis) {
         boolean fresh = mDigest != null && nowMillis - mDigest.atMillis() <= DIGEST_STALE_MILLIS;
         return mLeaving || (fresh && mDigest.leaving());
     }
 
-    /** Returns whether the host list or the operators say that the target leaves. */
+    /** Returns whether the host list or operators declare the target as leaving. */
     public boolean isDeclaredLeaving() {
         return mLeaving;
     }
 
-    /** Returns the load to reckon with: the newest digest and what this router sent since. */
+    /**
+     * Returns the load from the newest digest plus requests sent since, or just the requests in
+     * flight if there is no recent digest.
+     */
     public int estimatedLoad(long nowMillis) {
         if (mDigest == null || nowMillis - mDigest.atMillis() > DIGEST_STALE_MILLIS) {
             return mInFlight;
@@ -111,9 +114,9 @@
         return Math.max(mInFlight, mDigest.load() + mInFlight - mInFlightAtDigest);
     }
 
-    // ---------------------------------------------------------------- what was observed
+    // ---------------------------------------------------------------- updates
 
-    /** Takes a newer digest in and drops others. */
+    /** Applies a digest unless it is older than the current one. */
     public void onDigest(LoadDigest digest) {
         if (mDigest == null || digest.isNewerThan(mDigest)) {
             mDigest = digest;
@@ -121,17 +124,17 @@
         }
     }
 
-    /** Notes that the host list or the operators say the target leaves, or stays after all. */
+    /** Sets whether the host list or operators declare the target as leaving. */
     public void setLeaving(boolean leaving) {
         mLeaving = leaving;
     }
 
-    /** Notes a request sent. */
+    /** Records that a request was sent. */
     public void onSent() {
         mInFlight++;
     }
 
-    /** Notes the end of a request sent. */
+    /** Records that a request sent has ended. */
     public void onEnded() {
         mInFlight--;
         if (mInFlightAtDigest > 0) {
@@ -140,38 +143,38 @@
     }
 
     /**
-     * Corrects the belief in how long this target keeps a prefix.
+     * Adjusts the estimated lifetime of cached prefixes.
      *
-     * @param ageMillis time since the prefix was last used there
-     * @param expectedTokens tokens the ticket promised
-     * @param cachedTokens tokens really reused
+     * @param ageMillis time since the prefix was last used at the target
+     * @param expectedTokens cached tokens according to the ticket
+     * @param cachedTokens tokens actually served from the cache
      */
-    public void onReuse(long ageMillis, int expectedTokens, int cachedTokens) {
+    public void onCacheResult(long ageMillis, int expectedTokens, int cachedTokens) {
         if (expectedTokens <= 0 || ageMillis <= 0) {
             return;
         }
-        boolean kept = cachedTokens * 2 >= expectedTokens;
-        if (kept && ageMillis > mCacheLifetime / 4) {
-            mCacheLifetime = Math.min(MAX_LIFETIME_MILLIS, mCacheLifetime * 1.1);
-        } else if (!kept && ageMillis < mCacheLifetime * 2) {
-            mCacheLifetime = Math.max(MIN_LIFETIME_MILLIS, mCacheLifetime * 0.9);
+        boolean hit = cachedTokens * 2 >= expectedTokens;
+        if (hit && ageMillis > mCacheLifetimeMillis / 4) {
+            mCacheLifetimeMillis = Math.min(MAX_LIFETIME_MILLIS, mCacheLifetimeMillis * 1.1);
+        } else if (!hit && ageMillis < mCacheLifetimeMillis * 2) {
+            mCacheLifetimeMillis = Math.max(MIN_LIFETIME_MILLIS, mCacheLifetimeMillis * 0.9);
         }
     }
 
-    /** Takes in how long the target keeps a prefix by its own cache events. */
+    /** Sets the lifetime of cached prefixes as reported by the target's cache events. */
     public void onCacheLifetime(long millis) {
-        mCacheLifetime =
+        mCacheLifetimeMillis =
                 Math.max(MIN_LIFETIME_MILLIS, Math.min(MAX_LIFETIME_MILLIS, (double) millis));
     }
 
-    /** Returns the chance that a prefix last used so long ago is still cached there. */
-    public double chanceHeld(long ageMillis) {
-        return Math.exp(-Math.max(0, ageMillis) / mCacheLifetime);
+    /** Returns the probability that a prefix last used the given time ago is still cached. */
+    public double hitProbability(long ageMillis) {
+        return Math.exp(-Math.max(0, ageMillis) / mCacheLifetimeMillis);
     }
 
     /**
-     * Takes changed labels in and keeps everything observed. The view stays the same object, since
-     * requests under way hold on to it to report their end.
+     * Updates the target's declaration and keeps its observed state. The instance is kept, since
+     * requests in flight refer to it to record their end.
      */
     public void update(String failureDomain, Labels labels, int capacity) {
         mFailureDomain = failureDomain;
--- a/forkseam-core/src/main/java/org/forkseam/core/route/package-info.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/package-info.java
@@ -1,2 +1,2 @@
-/** Where a request goes: homes, tickets, scores and the order of tries. */
+/** Target selection: consistent hashing, load bounds, cache-aware scoring and retry order. */
 package org.forkseam.core.route;
--- a/forkseam-core/src/test/java/org/forkseam/core/route/HomePickerTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/BoundedLoadPickerTest.java
@@ -12,65 +12,66 @@
 
 import java.util.List;
 
-/** Tests the choice of an engine. */
-class HomePickerTest {
+/** Tests the preference for a home within the load bound. */
+class BoundedLoadPickerTest {
     private static final double MULTIPLE = 2;
     private static final int MARGIN = 2;
 
-    private final HomePicker mPicker = HomePicker.of(MULTIPLE, MARGIN);
+    private final BoundedLoadPicker mPicker = BoundedLoadPicker.of(MULTIPLE, MARGIN);
 
     private static PickRequest request(String key, long sharedTokens) {
-        return PickRequest.of(key, sharedTokens, SeatTable.empty());
+        return PickRequest.of(key, sharedTokens, ShardTable.empty());
     }
 
     @Test
     void sameKeyGoesToTheSameTarget() {
-        List<Target> pool = Targets.ready(8);
+        List<Target> pool = TestTargets.ready(8);
         Target first = mPicker.pick(request("k", 100), pool, 0).orElseThrow().target();
         assertThat(mPicker.pick(request("k", 100), pool, 5).orElseThrow().target())
                 .isSameInstanceAs(first);
     }
 
     @Test
-    void noCandidatesGiveNoChoice() {
+    void noCandidatesYieldNoPick() {
         assertThat(mPicker.pick(request("k", 0), List.of(), 0).isPresent()).isFalse();
     }
 
     @Test
-    void manyTokensStayAtHomeWhereFewSpill() {
-        List<Target> pool = Targets.ready(4);
-        pool.forEach(t -> Targets.load(t, 10));
+    void largePrefixStaysHomeWhereSmallOneSpills() {
+        List<Target> pool = TestTargets.ready(4);
+        pool.forEach(t -> TestTargets.load(t, 10));
         Target home = mPicker.pick(request("k", 10_000), pool, 0).orElseThrow().target();
-        Targets.load(home, 14); // 24 of a mean of 13.5: between 0.85 and 1 of twice the mean
+        TestTargets.load(
+                home, 14); // load 24 at a mean of 13.5: between 0.85 and 1 times twice the mean
         assertThat(mPicker.pick(request("k", 10_000), pool, 0).orElseThrow().reason())
                 .isEqualTo(Pick.Reason.HOME);
-        Targets.load(home, 2);
+        TestTargets.load(home, 2);
         assertThat(mPicker.pick(request("k", 100), pool, 0).orElseThrow().reason())
                 .isEqualTo(Pick.Reason.SPILL);
     }
 
-    /** Operators reckon the mean over all targets, also those of an evacuated domain. */
+    /** The mean load is taken over all targets, including idle ones. */
     @Test
-    void targetsThatRestLowerTheBound() {
-        List<Target> pool = Targets.ready(4);
-        pool.forEach(t -> Targets.load(t, 10));
+    void idleTargetsLowerTheBound() {
+        List<Target> pool = TestTargets.ready(4);
+        pool.forEach(t -> TestTargets.load(t, 10));
         Target home = mPicker.pick(request("k", 10_000), pool, 0).orElseThrow().target();
-        Targets.load(home, 14); // 24: below twice a mean of 13.5, above twice one of 9
-        PickRequest resting = new PickRequest("k", 10_000, SeatTable.empty(), 2);
+        TestTargets.load(home, 14); // load 24: below twice a mean of 13.5, above twice a mean of 9
+        PickRequest withIdleTargets = new PickRequest("k", 10_000, ShardTable.empty(), 2);
         assertThat(mPicker.pick(request("k", 10_000), pool, 0).orElseThrow().target())
                 .isSameInstanceAs(home);
-        assertThat(mPicker.pick(resting, pool, 0).orElseThrow().reason())
+        assertThat(mPicker.pick(withIdleTargets, pool, 0).orElseThrow().reason())
                 .isEqualTo(Pick.Reason.SPILL);
     }
 
     @Property(tries = 300)
-    void neverPicksOneOverTheBoundWhileAnotherIsBelow(
+    void neverPicksTargetOverBoundWhileAnotherIsBelow(
             @ForAll @Size(min = 1, max = 12) List<@IntRange(max = 60) Integer> loads,
             @ForAll @IntRange(max = 100_000) int key) {
-        List<Target> pool = Targets.ready(loads.size());
+        List<Target> pool = TestTargets.ready(loads.size());
         int total = 0;
         for (int i = 0; i < loads.size(); i++) {
-            Targets.load(pool.get(i), loads.get(i));
+            TestTargets.load(pool.get(i), loads.get(i));
             total += loads.get(i);
         }
         Pick p = mPicker.pick(request("k" + key, 10_000), pool, 0).orElseThrow();
--- a/forkseam-core/src/test/java/org/forkseam/core/route/HomeTableTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/HomeTableTest.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.Random;
 
-/** Routers agree on homes without a message, and a change of members moves only its own share. */
+/**
+ * Tests that a change of members moves only its share of the keys, so that routers with similar
+ * tables mostly agree.
+ */
 class HomeTableTest {
     private static final int KEYS = 4000;
 
@@ -37,7 +40,7 @@
     }
 
     @Test
-    void oneLeavingMovesOnlyItsShare() {
+    void removingATargetMovesOnlyItsShare() {
         List<HomeTable.Member> all = members(12);
         double moved = shareMoved(HomeTable.of(all), HomeTable.of(all.subList(0, 11)));
         assertThat(moved).isLessThan(1.0 / 12 * 1.3);
@@ -52,7 +55,7 @@
     }
 
     @Test
-    void weightsAreKept() {
+    void keysAreDistributedByWeight() {
         List<HomeTable.Member> all = new ArrayList<>(members(9));
         all.add(new HomeTable.Member("big", 24));
         HomeTable t = HomeTable.of(all);
@@ -64,22 +67,23 @@
     }
 
     @Property(tries = 15, seed = "5")
-    void changedStepByStepEqualsBuiltAtOnce(
+    void incrementalBuildEqualsFullBuild(
             @ForAll Random random, @ForAll @IntRange(min = 1, max = 9) int start) {
-        List<HomeTable.Member> now = new ArrayList<>(members(start));
-        HomeTable t = HomeTable.of(now);
+        List<HomeTable.Member> current = new ArrayList<>(members(start));
+        HomeTable t = HomeTable.of(current);
         for (int i = 0; i < 4; i++) {
-            if (now.size() > 1 && random.nextBoolean()) {
-                now.remove(random.nextInt(now.size()));
+            if (current.size() > 1 && random.nextBoolean()) {
+                current.remove(random.nextInt(current.size()));
             } else {
-                now.add(random.nextInt(now.size() + 1), new HomeTable.Member("n" + i, 5 + i));
+                current.add(
+                        random.nextInt(current.size() + 1), new HomeTable.Member("n" + i, 5 + i));
             }
-            t = t.with(now);
+            t = t.with(current);
         }
-        HomeTable fresh = HomeTable.of(now);
+        HomeTable full = HomeTable.of(current);
         for (int k = 0; k < 500; k++) {
-            for (int rank = 0; rank < fresh.depth(); rank++) {
-                assertThat(t.home(k, rank)).isEqualTo(fresh.home(k, rank));
+            for (int rank = 0; rank < full.homesPerKey(); rank++) {
+                assertThat(t.home(k, rank)).isEqualTo(full.home(k, rank));
             }
         }
     }
--- a/forkseam-core/src/test/java/org/forkseam/core/route/HolderMemoryTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/PromptHolderIndexTest.java
@@ -13,13 +13,13 @@
 import java.util.Optional;
 
 /** Tests from which target a prompt is copied. */
-class HolderMemoryTest {
+class PromptHolderIndexTest {
     private static final long KEY = 77;
 
-    private final HolderMemory mMemory = HolderMemory.create();
+    private final PromptHolderIndex mIndex = PromptHolderIndex.create();
     private final TargetDirectory mDirectory = TargetDirectory.create();
 
-    HolderMemoryTest() {
+    PromptHolderIndexTest() {
         mDirectory.apply(StorePosition.of(0, 1), List.of(entry("a"), entry("b"), entry("c")), 0);
     }
 
@@ -36,56 +36,56 @@
     }
 
     private Optional<String> source(String chosen, long now, String... likely) {
-        return mMemory.source(KEY, target(chosen), List.of(likely), mDirectory, now)
+        return mIndex.copySource(KEY, target(chosen), List.of(likely), mDirectory, now)
                 .map(t -> t.entry().id());
     }
 
     @Test
-    void aTargetThatHasServedTheKeyCopiesNothing() {
-        mMemory.onAnswered(KEY, start("a"), 0);
+    void knownHolderCopiesNothing() {
+        mIndex.onAnswered(KEY, start("a"), 0);
         assertThat(source("a", 100, "b", "a")).isEqualTo(Optional.empty());
     }
 
     @Test
     void theNewestKnownHolderIsTheSource() {
-        mMemory.onAnswered(KEY, start("a"), 10);
-        mMemory.onAnswered(KEY, start("b"), 20);
+        mIndex.onAnswered(KEY, start("a"), 10);
+        mIndex.onAnswered(KEY, start("b"), 20);
         assertThat(source("c", 100, "c", "a")).isEqualTo(Optional.of("b"));
     }
 
-    /** What an earlier start of a target had read is gone, and it is no source either. */
+    /** A restart loses a target's cache. */
     @Test
-    void whatATargetHadReadEndsWithItsStart() {
-        mMemory.onAnswered(KEY, start("a"), 10);
-        mMemory.onAnswered(KEY, start("b"), 20);
-        TargetEntry again = new TargetEntry("b", "pool", "10.0.0.1:1", "z", 8, false, 0, 1_000);
-        mDirectory.apply(StorePosition.of(0, 2), List.of(entry("a"), again, entry("c")), 50);
+    void restartedTargetIsNoHolder() {
+        mIndex.onAnswered(KEY, start("a"), 10);
+        mIndex.onAnswered(KEY, start("b"), 20);
+        TargetEntry restarted = new TargetEntry("b", "pool", "10.0.0.1:1", "z", 8, false, 0, 1_000);
+        mDirectory.apply(StorePosition.of(0, 2), List.of(entry("a"), restarted, entry("c")), 50);
         assertThat(source("c", 100, "c")).isEqualTo(Optional.of("a"));
         assertThat(source("b", 100, "b")).isEqualTo(Optional.of("a"));
-        mMemory.onAnswered(KEY, again.start(), 110);
+        mIndex.onAnswered(KEY, restarted.start(), 110);
         assertThat(source("c", 120, "c")).isEqualTo(Optional.of("b"));
     }
 
     @Test
-    void aHomeThatWasAlwaysHomeCopiesNothing() {
+    void likeliestTargetCopiesNothing() {
         assertThat(source("a", 100, "a", "b")).isEqualTo(Optional.empty());
     }
 
     @Test
-    void aSpillCopiesFromTheHome() {
+    void spilledRequestCopiesFromHome() {
         assertThat(source("c", 100, "a", "b", "c")).isEqualTo(Optional.of("a"));
     }
 
     @Test
-    void aSickHomeIsNoSource() {
+    void unhealthyHomeIsNoSource() {
         target("a").health().onFailure(90);
         target("a").health().onFailure(91);
         assertThat(source("c", 100, "a", "b", "c")).isEqualTo(Optional.of("b"));
     }
 
     @Test
-    void aTargetThatLeftWithoutAWordIsASourceForAMoment() {
-        mMemory.onAnswered(KEY, start("a"), 10);
+    void recentlyRemovedTargetRemainsASourceBriefly() {
+        mIndex.onAnswered(KEY, start("a"), 10);
         target("a").onHeard(1_000);
         mDirectory.apply(StorePosition.of(0, 2), List.of(entry("b"), entry("c")), 1_500);
         assertThat(source("c", 2_000, "c")).isEqualTo(Optional.of("a"));
--- a/forkseam-core/src/test/java/org/forkseam/core/route/FullPlacesTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/SaturatedTargetsTest.java
@@ -9,18 +9,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Tests the choice among engines whose places are few. */
-class FullPlacesTest {
-    private static final int PLACES = 12;
-    private static final PickRequest REQUEST = PickRequest.of("k", 10_000, SeatTable.empty());
+/** Tests picking among targets with few slots. */
+class SaturatedTargetsTest {
+    private static final int SLOTS = 12;
+    private static final PickRequest REQUEST = PickRequest.of("k", 10_000, ShardTable.empty());
 
-    private final HomePicker mPicker = HomePicker.of(2, 2);
+    private final BoundedLoadPicker mPicker = BoundedLoadPicker.of(2, 2);
     private final List<Target> mPool = new ArrayList<>();
 
-    FullPlacesTest() {
+    SaturatedTargetsTest() {
         for (int i = 0; i < 8; i++) {
-            mPool.add(
-                    Target.of(new TargetEntry("t" + i, "p", "10.0.0.1:1", "a", PLACES, false, 0)));
+            mPool.add(Target.of(new TargetEntry("t" + i, "p", "10.0.0.1:1", "a", SLOTS, false, 0)));
         }
     }
 
@@ -28,9 +27,11 @@
         return mPicker.pick(REQUEST, mPool, 0).orElseThrow().target();
     }
 
-    /** The mean is 9 here, so that twice the mean alone would have 18 at a target of 12 places. */
+    /**
+     * The mean load is 9: a bound of twice the mean alone would allow 18 on a target with 12 slots.
+     */
     @Test
-    void aHomeWithoutAPlaceIsPassedOverWhileOthersHaveRoom() {
+    void saturatedHomeSpillsWhileOthersHaveCapacity() {
         Target home = home();
         mPool.forEach(t -> t.onLoad(8, 0));
         home.onLoad(16, 0);
@@ -40,7 +41,7 @@
     }
 
     @Test
-    void aHomeWithAFreePlaceKeepsItsKeys() {
+    void homeWithFreeSlotsKeepsItsKeys() {
         Target home = home();
         mPool.forEach(t -> t.onLoad(4, 0));
         home.onLoad(8, 0);
@@ -48,7 +49,7 @@
     }
 
     @Test
-    void whenAllAreFullAlikeKeysStayAtHome() {
+    void equallySaturatedTargetsKeepTheirKeys() {
         Target home = home();
         mPool.forEach(t -> t.onLoad(14, 0));
         assertThat(mPicker.pick(REQUEST, mPool, 0).orElseThrow().target()).isSameInstanceAs(home);
--- a/forkseam-core/src/test/java/org/forkseam/core/route/Targets.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/TestTargets.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Makes targets for tests. */
-final class Targets {
-    private Targets() {}
+/** Creates targets for tests. */
+final class TestTargets {
+    private TestTargets() {}
 
     static Target ready(String id) {
         return Target.of(new TargetEntry(id, "pool", "10.0.0.1:1", "a", 64, false, 0));
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
@@ -15,10 +15,10 @@
 import org.forkseam.core.outcome.RetryAfter;
 import org.forkseam.core.outcome.RetryPolicy;
 import org.forkseam.core.route.Candidate;
+import org.forkseam.core.route.CandidateQueue;
 import org.forkseam.core.route.ChatTicket;
 import org.forkseam.core.route.PlacementRequest;
 import org.forkseam.core.route.PoolView;
-import org.forkseam.core.route.SpillOrder;
 import org.forkseam.core.route.TargetView;
 import org.forkseam.wire.proto.End;
 import org.forkseam.wire.proto.Head;
@@ -56,7 +56,7 @@
     private IntentSpec mIntent;
     private PlacementRequest mPlacement;
     private Optional<ChatTicket> mTicket = Optional.empty();
-    private SpillOrder mOrder;
+    private CandidateQueue mOrder;
     private long mDeadlineMillis;
     private Attempt mAttempt;
     private Head mHead;
@@ -114,7 +114,7 @@
 
     private void rank() {
         CallerRequest.Prompt p = mRequest.prompt();
-        mTicket = ChatTicket.read(mRequest.ticket(), p.chat(), mContext.ticketKey());
+        mTicket = ChatTicket.verify(mRequest.ticket(), p.chat(), mContext.ticketKey());
         mPlacement =
                 new PlacementRequest(
                         p.chat(),
@@ -131,14 +131,14 @@
         for (int i = 0; i < Math.min(MAX_NOTED, ranked.size()); i++) {
             note(describe(ranked.get(i)), ranked.get(i).target().name());
         }
-        mOrder = SpillOrder.of(ranked);
+        mOrder = CandidateQueue.of(ranked);
     }
 
     private static String describe(Candidate c) {
         return String.format(
                 Locale.ROOT,
                 "candidate why=%s score=%.1f saved=%.0f load=%d limit=%d",
-                c.why(),
+                c.reason(),
                 c.score(),
                 c.savedTokens(),
                 c.load(),
@@ -191,7 +191,7 @@
                         0,
                         best.estimatedLoad(now()),
                         mPool.limit(best, now()),
-                        Candidate.Why.LOW_LOAD);
+                        Candidate.Reason.LOW_LOAD);
         send(c, List.of());
     }
 
@@ -279,7 +279,8 @@
         String target = mAttempt.candidate().target().name();
         b.withHeader(CallerHeaders.OUTCOME, outcome);
         b.withHeader(CallerHeaders.TARGET, target);
-        b.withHeader(CallerHeaders.WHY, mAttempt.candidate().why().name().toLowerCase(Locale.ROOT));
+        b.withHeader(
+                CallerHeaders.WHY, mAttempt.candidate().reason().name().toLowerCase(Locale.ROOT));
         if (mRequest.forward().chat()) {
             ChatTicket t =
                     new ChatTicket(mPlacement.chat(), target, mPlacement.promptTokens(), now());
@@ -343,7 +344,7 @@
         mTicket.filter(k -> k.target().equals(t.name()))
                 .ifPresent(
                         k ->
-                                t.onReuse(
+                                t.onCacheResult(
                                         mArrivedMillis - k.atMillis(),
                                         k.tokens(),
                                         end.getCachedTokens()));
@@ -393,8 +394,8 @@
         }
         // If the owner cannot be asked either, the request may have run there.
         mLastRefused = Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE);
-        mOrder = SpillOrder.of(List.of());
-        Candidate c = new Candidate(owner.get(), 0, 0, 0, 0, Candidate.Why.UNSCORED);
+        mOrder = CandidateQueue.of(List.of());
+        Candidate c = new Candidate(owner.get(), 0, 0, 0, 0, Candidate.Reason.UNSCORED);
         send(c, List.of());
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
@@ -13,10 +13,10 @@
 import org.forkseam.core.kernel.Service;
 import org.forkseam.core.outcome.RefusalReason;
 import org.forkseam.core.outcome.Refused;
-import org.forkseam.core.route.Baselines;
+import org.forkseam.core.route.BaselinePlacements;
+import org.forkseam.core.route.CacheAwarePlacement;
 import org.forkseam.core.route.Placement;
 import org.forkseam.core.route.PrefixDirectory;
-import org.forkseam.core.route.StdPlacement;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
 import org.forkseam.daemon.net.Links;
@@ -130,11 +130,11 @@
     private static Placement placement(
             String name, PrefixDirectory prefixes, RandomGenerator random) {
         return switch (name) {
-            case "std" -> StdPlacement.of(prefixes, random);
-            case "random" -> Baselines.random(random);
-            case "round-robin" -> Baselines.roundRobin();
-            case "two-choices" -> Baselines.twoChoices(random);
-            case "consistent-hash" -> Baselines.consistentHash();
+            case "std" -> CacheAwarePlacement.of(prefixes, random);
+            case "random" -> BaselinePlacements.random(random);
+            case "round-robin" -> BaselinePlacements.roundRobin();
+            case "two-choices" -> BaselinePlacements.twoChoices(random);
+            case "consistent-hash" -> BaselinePlacements.consistentHash();
             default -> throw new IllegalArgumentException("placement " + name);
         };
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestPlacement.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestPlacement.java
@@ -60,7 +60,7 @@
         List<Target> all = allowed(admission);
         List<Target> admitted = mContext.coldGate().admitted(all, cold, now);
         int resting = all.size() - admitted.size() + resting(admitted, now);
-        CandidateFilter.Candidates c = mContext.placing().filter().of(admitted, mTried, now);
+        CandidateFilter.Candidates c = mContext.placing().filter().apply(admitted, mTried, now);
         PickRequest request =
                 new PickRequest(
                         mKey, mSharedTokens, mContext.knowledge().seats().table(pool), resting);
@@ -148,7 +148,7 @@
         List<String> likely = known.seats().likelyHolders(pool, mKeyHash);
         mCopySource =
                 known.holders()
-                        .source(mKeyHash, t, likely, known.targets(), mContext.now())
+                        .copySource(mKeyHash, t, likely, known.targets(), mContext.now())
                         .map(s -> s.entry().address());
         return mCopySource;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
@@ -4,7 +4,7 @@
 import org.forkseam.core.member.ErrorRate;
 import org.forkseam.core.outcome.ComeBack;
 import org.forkseam.core.route.CandidateFilter;
-import org.forkseam.core.route.HomeRegions;
+import org.forkseam.core.route.RegionFilter;
 import org.forkseam.core.route.TargetPicker;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
@@ -51,7 +51,7 @@
             CandidateFilter filter,
             TargetPicker engines,
             TargetPicker services,
-            HomeRegions regions) {
+            RegionFilter regions) {
         Placing withEngines(TargetPicker picker) {
             return new Placing(filter, picker, services, regions);
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
@@ -7,10 +7,10 @@
 import org.forkseam.core.kernel.Service;
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetStart;
+import org.forkseam.core.route.BoundedLoadPicker;
 import org.forkseam.core.route.CandidateFilter;
-import org.forkseam.core.route.HomePicker;
-import org.forkseam.core.route.HomeRegions;
 import org.forkseam.core.route.LeastLoadedPicker;
+import org.forkseam.core.route.RegionFilter;
 import org.forkseam.core.route.TargetPicker;
 import org.forkseam.core.traffic.CallerLimits;
 import org.forkseam.core.util.Clock;
@@ -88,7 +88,7 @@
                                         CandidateFilter.of(p.random()),
                                         homePicker(mBounds),
                                         LeastLoadedPicker.of(p.random()),
-                                        HomeRegions.of(settings.regions())),
+                                        RegionFilter.of(settings.regions())),
                                 ColdGate.of(p.knowledge()::shareFor, mBounds.coldOvershoot()),
                                 new RepeatBudgets(repeats(mBounds), this::routers),
                                 new Answers(p.protocol(), p.random()),
@@ -118,7 +118,7 @@
     }
 
     private static TargetPicker homePicker(RouterSettings.Bounds b) {
-        return HomePicker.of(b.loadMultiple() * HOME_SHARE_OF_CAP, HOME_MARGIN);
+        return BoundedLoadPicker.of(b.loadMultiple() * HOME_SHARE_OF_CAP, HOME_MARGIN);
     }
 
     private static RepeatBudgets.Bounds repeats(RouterSettings.Bounds b) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
@@ -7,7 +7,7 @@
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.member.TargetEntry;
-import org.forkseam.core.route.HolderMemory;
+import org.forkseam.core.route.PromptHolderIndex;
 import org.forkseam.core.share.LoadExchange;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.traffic.TrafficConfig;
@@ -237,7 +237,7 @@
     }
 
     /** Returns which targets have answered which keys. */
-    public HolderMemory holders() {
+    public PromptHolderIndex holders() {
         return mLearned.holders();
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Learned.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Learned.java
@@ -3,7 +3,7 @@
 import org.forkseam.core.crash.CrashFact;
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
-import org.forkseam.core.route.HolderMemory;
+import org.forkseam.core.route.PromptHolderIndex;
 import org.forkseam.core.share.FactExchange;
 import org.forkseam.core.share.HolderFact;
 import org.forkseam.core.share.LoadExchange;
@@ -20,7 +20,7 @@
 final class Learned {
     private final Clock mClock;
     private final TargetDirectory mTargets;
-    private final HolderMemory mHolders = HolderMemory.create();
+    private final PromptHolderIndex mHolders = PromptHolderIndex.create();
     private final FactExchange<HolderFact> mHolderNews =
             FactExchange.of(HolderFact.MAX_FACTS, f -> 0);
     private final Quarantine mQuarantine;
@@ -33,7 +33,7 @@
         mWords = words;
     }
 
-    HolderMemory holders() {
+    PromptHolderIndex holders() {
         return mHolders;
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Seats.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Seats.java
@@ -4,9 +4,9 @@
 
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.route.Pick;
-import org.forkseam.core.route.SeatPlanner;
-import org.forkseam.core.route.SeatTable;
-import org.forkseam.core.route.SpillShare;
+import org.forkseam.core.route.ShardPlanner;
+import org.forkseam.core.route.ShardTable;
+import org.forkseam.core.route.SpillRate;
 import org.forkseam.core.traffic.Pool;
 import org.forkseam.core.traffic.TrafficConfig;
 import org.forkseam.core.util.BoundedMap;
@@ -58,10 +58,10 @@
     private final SharedRows mRows;
     private final RandomGenerator mRandom;
     private final TargetDirectory mTargets;
-    private final Map<String, SeatTable> mTables = new HashMap<>();
-    private final Map<String, SeatPlanner> mPlanners = new HashMap<>();
+    private final Map<String, ShardTable> mTables = new HashMap<>();
+    private final Map<String, ShardPlanner> mPlanners = new HashMap<>();
     private final Map<String, Long> mLastRequest = new HashMap<>();
-    private final Map<String, SpillShare> mSpills = new HashMap<>();
+    private final Map<String, SpillRate> mSpills = new HashMap<>();
 
     /** Holders of seats that have not read what their keys' others have: new, or started again. */
     private final Set<String> mAddedWhileBusy = new HashSet<>();
@@ -89,8 +89,8 @@
     // ---------------------------------------------------------------- use
 
     /** Returns the seats of a pool. */
-    public SeatTable table(String pool) {
-        return mTables.getOrDefault(pool, SeatTable.empty());
+    public ShardTable table(String pool) {
+        return mTables.getOrDefault(pool, ShardTable.empty());
     }
 
     /**
@@ -100,7 +100,7 @@
      * seat was added, it is the next, which had the key before.
      */
     public List<String> likelyHolders(String pool, long keyHash) {
-        List<String> order = table(pool).order(keyHash);
+        List<String> order = table(pool).preferenceOrder(keyHash);
         if (order.isEmpty()) {
             return order;
         }
@@ -125,7 +125,7 @@
      * it is the first in the key's order, and has not taken its seat from another.
      */
     boolean tellsOf(String pool, long keyHash, String targetId) {
-        List<String> order = table(pool).order(keyHash);
+        List<String> order = table(pool).preferenceOrder(keyHash);
         return !order.isEmpty()
                 && order.get(0).equals(targetId)
                 && !mPrevious.containsKey(targetId)
@@ -135,7 +135,7 @@
     /** Returns the holders of each pool's seats. */
     Map<String, List<String>> dump() {
         Map<String, List<String>> m = new TreeMap<>();
-        mTables.forEach((pool, table) -> m.put(pool, table.holders()));
+        mTables.forEach((pool, table) -> m.put(pool, table.owners()));
         return m;
     }
 
@@ -149,8 +149,8 @@
         spills(pool).onPick(reason, mClock.nowMillis());
     }
 
-    private SpillShare spills(String pool) {
-        return mSpills.computeIfAbsent(pool, p -> SpillShare.since(mClock.nowMillis()));
+    private SpillRate spills(String pool) {
+        return mSpills.computeIfAbsent(pool, p -> SpillRate.startingAt(mClock.nowMillis()));
     }
 
     // ---------------------------------------------------------------- following
@@ -165,8 +165,8 @@
             return;
         }
         String pool = row.key().substring(SEATS.length());
-        SeatTable table = SeatTable.of(Arrays.asList(row.value().split(",")));
-        SeatTable before = table(pool);
+        ShardTable table = ShardTable.of(Arrays.asList(row.value().split(",")));
+        ShardTable before = table(pool);
         mTables.put(pool, table);
         if (!table.equals(before)) {
             notePrevious(before, table);
@@ -179,11 +179,11 @@
         }
     }
 
-    private void notePrevious(SeatTable before, SeatTable after) {
-        int both = Math.min(before.holders().size(), after.holders().size());
+    private void notePrevious(ShardTable before, ShardTable after) {
+        int both = Math.min(before.owners().size(), after.owners().size());
         for (int i = 0; i < both; i++) {
-            String old = before.holders().get(i);
-            String now = after.holders().get(i);
+            String old = before.owners().get(i);
+            String now = after.owners().get(i);
             if (!old.equals(now)) {
                 mPrevious.put(now, old);
             }
@@ -191,10 +191,10 @@
     }
 
     /** Notes the holders of seats that were added while the pool had requests. */
-    private void noteAdded(String pool, SeatTable before, SeatTable after) {
-        int known = before.holders().size();
+    private void noteAdded(String pool, ShardTable before, ShardTable after) {
+        int known = before.owners().size();
         if (known > 0 && mLastRequest.containsKey(pool)) {
-            after.holders().stream().skip(known).forEach(mAddedWhileBusy::add);
+            after.owners().stream().skip(known).forEach(mAddedWhileBusy::add);
         }
         mAddedWhileBusy.retainAll(allHolders());
     }
@@ -209,7 +209,7 @@
 
     private Set<String> allHolders() {
         Set<String> all = new HashSet<>();
-        mTables.values().forEach(t -> all.addAll(t.holders()));
+        mTables.values().forEach(t -> all.addAll(t.owners()));
         return all;
     }
 
@@ -236,25 +236,25 @@
         return PLAN_MILLIS;
     }
 
-    private Optional<SeatTable> next(String pool, long now) {
-        SeatPlanner planner = mPlanners.computeIfAbsent(pool, p -> SeatPlanner.create());
+    private Optional<ShardTable> next(String pool, long now) {
+        ShardPlanner planner = mPlanners.computeIfAbsent(pool, p -> ShardPlanner.create());
         long last = Math.max(mStarted, mLastRequest.getOrDefault(pool, mStarted));
-        SeatPlanner.Demand demand = SeatPlanner.Demand.BALANCED;
+        ShardPlanner.Demand demand = ShardPlanner.Demand.BALANCED;
         if (now - last > IDLE_MILLIS) {
-            demand = SeatPlanner.Demand.IDLE;
-        } else if (spills(pool).isOutOfBalance(now)) {
-            demand = SeatPlanner.Demand.SPILLING;
+            demand = ShardPlanner.Demand.IDLE;
+        } else if (spills(pool).isImbalanced(now)) {
+            demand = ShardPlanner.Demand.SPILLING;
         }
         return planner.next(table(pool), mTargets.pool(pool), demand, now);
     }
 
     private void propose(String pool) {
-        Optional<SeatTable> next = next(pool, mClock.nowMillis());
+        Optional<ShardTable> next = next(pool, mClock.nowMillis());
         if (next.isEmpty() || mStopped) {
             mProposing = false;
             return;
         }
-        String value = String.join(",", next.get().holders());
+        String value = String.join(",", next.get().owners());
         mRows.compareAndSet(SEATS + pool, value, mFollower.position(SEATS + pool))
                 .whenComplete(
                         (row, failure) -> {
