--- a/forkseam-core/src/main/java/org/forkseam/core/load/PoolLoad.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/load/PoolLoad.java
@@ -8,8 +8,8 @@
 /**
  * Keeps the newest digest of each target of a pool.
  *
- * <p>Digests may come late, twice or out of order: only a newer one of the same target counts. Not
- * thread-safe; each daemon uses it on its event loop.
+ * <p>Digests that arrive late, twice or out of order are ignored. Not thread-safe; used on the
+ * event loop.
  *
  * @since 0.1
  */
@@ -18,19 +18,19 @@
     private long mTotalLoad;
     private long mTotalCapacity;
 
-    /** Takes a digest in; returns false if it told nothing new. */
+    /** Applies a digest; returns false if it is not newer than the current one. */
     public boolean merge(LoadDigest digest) {
-        LoadDigest old = mNewest.get(digest.target());
-        if (old != null && !digest.isNewerThan(old)) {
+        LoadDigest previous = mNewest.get(digest.target());
+        if (previous != null && !digest.isNewerThan(previous)) {
             return false;
         }
         mNewest.put(digest.target(), digest);
-        mTotalLoad += digest.load() - (old == null ? 0 : old.load());
-        mTotalCapacity += digest.capacity() - (old == null ? 0 : old.capacity());
+        mTotalLoad += digest.load() - (previous == null ? 0 : previous.load());
+        mTotalCapacity += digest.capacity() - (previous == null ? 0 : previous.capacity());
         return true;
     }
 
-    /** Forgets targets that are no longer members of the pool. */
+    /** Removes targets that are no longer members of the pool. */
     public void retain(Set<String> members) {
         mNewest.keySet().retainAll(members);
         mTotalLoad = mNewest.values().stream().mapToLong(LoadDigest::load).sum();
@@ -38,21 +38,21 @@
     }
 
     /** Returns the newest digest of a target. */
-    public Optional<LoadDigest> of(String target) {
+    public Optional<LoadDigest> newest(String target) {
         return Optional.ofNullable(mNewest.get(target));
     }
 
-    /** Returns requests carried by all targets heard of. */
+    /** Returns the total load of the known targets. */
     public long totalLoad() {
         return mTotalLoad;
     }
 
-    /** Returns the capacity of all targets heard of. */
+    /** Returns the total capacity of the known targets. */
     public long totalCapacity() {
         return mTotalCapacity;
     }
 
-    /** Returns the number of targets heard of. */
+    /** Returns the number of known targets. */
     public int size() {
         return mNewest.size();
     }
--- a/forkseam-core/src/main/java/org/forkseam/core/load/package-info.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/load/package-info.java
@@ -1,2 +1,2 @@
-/** What targets carry and the bound on it. */
+/** Load reports of targets and the load bound. */
 package org.forkseam.core.load;
--- a/forkseam-core/src/main/java/org/forkseam/core/share/package-info.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/share/package-info.java
@@ -1,4 +1,2 @@
-/**
- * What routers tell each other: values and state machines without network or clock of their own.
- */
+/** Values and state machines of the gossip between routers, without I/O or a clock of their own. */
 package org.forkseam.core.share;
--- a/forkseam-core/src/test/java/org/forkseam/core/crash/CrashNewsTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/crash/CrashNewsTest.java
@@ -2,8 +2,8 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import org.forkseam.core.share.FactExchange;
-import org.forkseam.core.share.LoadExchange;
+import org.forkseam.core.share.GossipQueue;
+import org.forkseam.core.share.LoadGossip;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -24,8 +24,8 @@
     /** Is a router that counts and passes on. */
     private static final class Router {
         private final CrashSuspects mSuspects = CrashSuspects.create();
-        private final FactExchange<CrashFact> mNews =
-                FactExchange.of(CrashFact.MAX_FACTS, f -> mSuspects.crashes(f.content()));
+        private final GossipQueue<CrashFact> mNews =
+                GossipQueue.of(CrashFact.MAX_FACTS, f -> mSuspects.crashes(f.content()));
 
         void take(CrashFact f, long now) {
             if (mSuspects.take(f, now)) {
@@ -58,7 +58,7 @@
         mLate = new ArrayList<>();
         due.forEach(l -> l.facts().forEach(f -> l.to().take(f, now)));
         for (Router r : mRouters) {
-            List<CrashFact> facts = r.mNews.digest();
+            List<CrashFact> facts = r.mNews.nextBatch();
             mMostFacts = Math.max(mMostFacts, facts.size());
             deliver(otherThan(r), facts, now);
         }
@@ -103,7 +103,7 @@
             mRouters.replaceAll(r -> new Router());
             mLate.clear();
             long third = 2 * MILLIS_BETWEEN;
-            for (long now = 0; now <= third + withinMillis; now += LoadExchange.PERIOD_MILLIS) {
+            for (long now = 0; now <= third + withinMillis; now += LoadGossip.PERIOD_MILLIS) {
                 if (now <= third && now % MILLIS_BETWEEN == 0) {
                     crash((int) (now / MILLIS_BETWEEN) + 1, now);
                 }
@@ -138,7 +138,7 @@
                 }
             }
             any().take(CrashFact.answered(CAUSE), 0);
-            for (long now = 0; now <= 3_000; now += LoadExchange.PERIOD_MILLIS) {
+            for (long now = 0; now <= 3_000; now += LoadGossip.PERIOD_MILLIS) {
                 round(now);
             }
             acquitted += mRouters.stream().filter(r -> !r.mSuspects.isConvicted(CAUSE)).count();
--- a/forkseam-core/src/test/java/org/forkseam/core/route/PoolSimulation.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/PoolSimulation.java
@@ -2,7 +2,7 @@
 
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetEntry;
-import org.forkseam.core.share.LoadExchange;
+import org.forkseam.core.share.LoadGossip;
 import org.forkseam.core.util.Hashes;
 
 import java.util.ArrayDeque;
@@ -272,12 +272,12 @@
     private void gossipAll() {
         for (List<Target> targets : mRouters) {
             List<Target> other = mRouters.get(mRandom.nextInt(mRouters.size()));
-            LoadExchange.take(
-                    LoadExchange.digest(targets, (long) mNow),
+            LoadGossip.apply(
+                    LoadGossip.newestReadings(targets, (long) mNow),
                     hash -> Optional.ofNullable(mEngineByHash.get(hash)).map(other::get),
                     (long) mNow);
         }
-        schedule(mNow + LoadExchange.PERIOD_MILLIS, this::gossipAll);
+        schedule(mNow + LoadGossip.PERIOD_MILLIS, this::gossipAll);
     }
 
     private void arrive(RequestClass requestClass, Outcome o) {
--- /dev/null
+++ b/forkseam-core/src/test/java/org/forkseam/core/share/LoadGossipTest.java
@@ -0,0 +1,79 @@
+package org.forkseam.core.share;
+
+import static com.google.common.truth.Truth.assertThat;
+
+import org.forkseam.core.member.Target;
+import org.forkseam.core.member.TargetEntry;
+import org.junit.jupiter.api.Test;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.IntFunction;
+
+/** Tests the exchange of load readings between routers. */
+class LoadGossipTest {
+    private static Target target(String id) {
+        return Target.of(new TargetEntry(id, "p", "10.0.0.1:1", "a", 12, false, 0));
+    }
+
+    private static IntFunction<Optional<Target>> only(Target t) {
+        return hash -> hash == t.shortHash() ? Optional.of(t) : Optional.empty();
+    }
+
+    @Test
+    void readingReachesARouterWithoutRequests() {
+        Target sender = target("i");
+        sender.onLoad(9, 1_000);
+        Target receiver = target("i");
+        LoadGossip.apply(LoadGossip.newestReadings(List.of(sender), 1_200), only(receiver), 5_000);
+        assertThat(receiver.othersInFlight(5_000)).isEqualTo(9);
+        assertThat(receiver.readingAgeMillis(5_000)).isEqualTo(200);
+    }
+
+    @Test
+    void ownRequestsAreNotCountedTwice() {
+        Target receiver = target("i");
+        receiver.onSent(4_000);
+        receiver.onLoadHeard(9, 5_000);
+        assertThat(receiver.inFlight() + receiver.othersInFlight(5_000)).isEqualTo(9);
+    }
+
+    @Test
+    void olderReadingIsIgnored() {
+        Target receiver = target("i");
+        receiver.onLoad(3, 5_000);
+        receiver.onLoadHeard(9, 4_999);
+        assertThat(receiver.loadTold()).isEqualTo(3);
+    }
+
+    @Test
+    void staleAndMissingReadingsAreNotSent() {
+        Target old = target("old");
+        old.onLoad(9, 1_000);
+        assertThat(LoadGossip.newestReadings(List.of(old, target("unknown")), 2_001)).isEmpty();
+    }
+
+    @Test
+    void readingsOfUnknownTargetsAreIgnored() {
+        Target known = target("i");
+        LoadGossip.apply(List.of(new LoadReading(77, 9, 0)), only(known), 5_000);
+        assertThat(known.readingAgeMillis(5_000)).isEqualTo(-1);
+    }
+
+    /** With 830 targets, a message stays within its size limit. */
+    @Test
+    void newestReadingsAreSent() {
+        List<Target> targets = new ArrayList<>();
+        for (int i = 0; i < 830; i++) {
+            Target t = target("i-" + i);
+            t.onLoad(1, 1_000 + i);
+            targets.add(t);
+        }
+        List<LoadReading> digest = LoadGossip.newestReadings(targets, 1_900);
+        assertThat(digest).hasSize(LoadGossip.MAX_READINGS);
+        for (LoadReading r : digest) {
+            assertThat(r.ageMillis()).isAtMost(1_900 - 1_829 + LoadGossip.MAX_READINGS);
+        }
+    }
+}
--- a/forkseam-core/src/test/java/org/forkseam/core/share/TargetNewsTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/share/TargetListDeltaTest.java
@@ -17,8 +17,8 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Tests what one router tells others of a changed list of targets. */
-class TargetNewsTest {
+/** Tests deltas of the target list. */
+class TargetListDeltaTest {
     private static List<TargetEntry> list(Set<Integer> ids, Set<Integer> leaving) {
         List<TargetEntry> list = new ArrayList<>();
         for (int id : ids) {
@@ -28,43 +28,45 @@
         return list;
     }
 
-    private static TargetNews between(
+    private static TargetListDelta between(
             List<TargetEntry> older, List<TargetEntry> newer, long readAt) {
-        return TargetNews.between(
-                older, TargetNews.Listed.of(newer), readAt, StorePosition.of(0, readAt));
+        return TargetListDelta.between(
+                older, TargetListDelta.Snapshot.of(newer), readAt, StorePosition.of(0, readAt));
     }
 
-    /** Takes news in, or returns empty if the list is to be read. */
-    private static Optional<List<TargetEntry>> apply(TargetNews news, List<TargetEntry> list) {
-        TargetNews.Listed applied = news.applyTo(TargetNews.Listed.of(list));
-        assertThat(applied.fingerprint()).isEqualTo(TargetNews.fingerprint(applied.entries()));
-        return news.isRight(applied) ? Optional.of(applied.entries()) : Optional.empty();
+    /**
+     * Applies a delta; empty if the result is not the newer list, so that a router would read it.
+     */
+    private static Optional<List<TargetEntry>> apply(
+            TargetListDelta delta, List<TargetEntry> list) {
+        TargetListDelta.Snapshot applied = delta.applyTo(TargetListDelta.Snapshot.of(list));
+        assertThat(applied.fingerprint()).isEqualTo(TargetListDelta.fingerprint(applied.entries()));
+        return delta.isConsistent(applied) ? Optional.of(applied.entries()) : Optional.empty();
     }
 
-    /** Hundreds of targets join and leave at once: all steps fit, and lead to the newer list. */
     @Property(tries = 100)
-    void stepsLeadToTheNewerList(
+    void stepsProduceTheNewerList(
             @ForAll @Size(max = 60) Set<@IntRange(max = 80) Integer> before,
             @ForAll @Size(max = 60) Set<@IntRange(max = 80) Integer> after,
             @ForAll @Size(max = 20) Set<@IntRange(max = 80) Integer> leaving,
-            @ForAll @IntRange(min = 1, max = 12) int most) {
+            @ForAll @IntRange(min = 1, max = 12) int maxPerStep) {
         List<TargetEntry> older = list(before, Set.of());
         List<TargetEntry> newer = list(after, leaving);
         List<TargetEntry> now = older;
-        for (TargetNews step : between(older, newer, 1).inSteps(most)) {
-            assertThat(step.changed().size() + step.removed().size()).isAtMost(most);
+        for (TargetListDelta step : between(older, newer, 1).split(maxPerStep)) {
+            assertThat(step.changed().size() + step.removed().size()).isAtMost(maxPerStep);
             now = apply(step, now).orElseThrow();
         }
         assertThat(now).containsExactlyElementsIn(newer);
     }
 
-    /** A cold target's heartbeats are no news but for the first and the last. */
+    /** Only the first and the last heartbeat of a cold target change its entry. */
     @Test
-    void coldTimeThatRunsOffIsNoNews() {
+    void decreasingColdTimeIsNoChange() {
         List<TargetEntry> cold = List.of(cold(3_000));
-        TargetNews news = between(cold, List.of(cold(1_800)), 2);
-        assertThat(news.changed()).isEmpty();
-        assertThat(news.isEmpty()).isTrue();
+        TargetListDelta delta = between(cold, List.of(cold(1_800)), 2);
+        assertThat(delta.changed()).isEmpty();
+        assertThat(delta.isEmpty()).isTrue();
         assertThat(between(cold, List.of(cold(0)), 2).changed()).hasSize(1);
     }
 
@@ -72,50 +74,50 @@
         return new TargetEntry("i", "p", "10.0.0.1:1", "a", 4, false, millis);
     }
 
-    /** A lost step is noticed at the last one; a lost last one at the next change or notice. */
+    /** A lost step is detected at the last one, a lost last step at the next delta. */
     @Test
-    void aStepThatIsMissingIsNoticed() {
+    void missingStepIsDetected() {
         List<TargetEntry> older = list(Set.of(1, 2), Set.of());
-        List<TargetNews> steps = between(older, list(Set.of(3, 4, 5), Set.of()), 1).inSteps(2);
+        List<TargetListDelta> steps = between(older, list(Set.of(3, 4, 5), Set.of()), 1).split(2);
         assertThat(steps).hasSize(3);
         for (int lost = 0; lost < 3; lost++) {
             Optional<List<TargetEntry>> now = Optional.of(older);
             for (int i = 0; i < 3; i++) {
-                TargetNews step = steps.get(i);
+                TargetListDelta step = steps.get(i);
                 now = i == lost ? now : now.flatMap(list -> apply(step, list));
             }
-            boolean whole = now.isPresent() && lost != 2;
-            assertThat(whole).isFalse();
+            boolean complete = now.isPresent() && lost != 2;
+            assertThat(complete).isFalse();
         }
     }
 
     @Property(tries = 300)
-    void whoHoldsTheOlderListGetsTheNewer(
+    void deltaAppliedToTheOlderListYieldsTheNewer(
             @ForAll @Size(max = 12) Set<@IntRange(max = 15) Integer> before,
             @ForAll @Size(max = 12) Set<@IntRange(max = 15) Integer> after,
             @ForAll @Size(max = 4) Set<@IntRange(max = 15) Integer> leaving) {
         List<TargetEntry> older = list(before, Set.of());
         List<TargetEntry> newer = list(after, leaving);
-        TargetNews news = between(older, newer, 1);
-        assertThat(apply(news, older).orElseThrow()).containsExactlyElementsIn(newer);
+        TargetListDelta delta = between(older, newer, 1);
+        assertThat(apply(delta, older).orElseThrow()).containsExactlyElementsIn(newer);
     }
 
-    /** A router that has read the list for itself holds something in between, or nothing of it. */
+    /** A router may have read the list by itself. */
     @Property(tries = 500)
-    void whoHoldsAnotherListGetsTheNewerOrReads(
+    void deltaAppliedToAnotherListYieldsTheNewerOrIsRejected(
             @ForAll @Size(max = 12) Set<@IntRange(max = 15) Integer> before,
             @ForAll @Size(max = 12) Set<@IntRange(max = 15) Integer> after,
             @ForAll @Size(max = 4) Set<@IntRange(max = 15) Integer> leaving,
             @ForAll @Size(max = 12) Set<@IntRange(max = 15) Integer> other) {
         List<TargetEntry> newer = list(after, leaving);
-        TargetNews news = between(list(before, Set.of()), newer, 1);
-        Optional<List<TargetEntry>> now = apply(news, list(other, Set.of()));
+        TargetListDelta delta = between(list(before, Set.of()), newer, 1);
+        Optional<List<TargetEntry>> now = apply(delta, list(other, Set.of()));
         now.ifPresent(l -> assertThat(l).containsExactlyElementsIn(newer));
     }
 
-    /** Targets came and went while this router read: it has some of the change already. */
+    /** A router that read the list by itself may already have part of the change. */
     @Property(tries = 300)
-    void whoHasReadInBetweenFollowsOn(
+    void deltaAppliesToAnIntermediateList(
             @ForAll @Size(max = 30) Set<@IntRange(max = 40) Integer> before,
             @ForAll @Size(max = 30) Set<@IntRange(max = 40) Integer> after,
             @ForAll @IntRange(max = 40) int split) {
@@ -125,7 +127,7 @@
         before.stream().filter(i -> i < split).forEach(between::add);
         after.stream().filter(i -> i >= split).forEach(between::add);
         List<TargetEntry> now = list(between, Set.of());
-        for (TargetNews step : between(older, newer, 1).inSteps(5)) {
+        for (TargetListDelta step : between(older, newer, 1).split(5)) {
             now = apply(step, now).orElseThrow();
         }
         if (!between(older, newer, 1).isEmpty()) {
@@ -133,16 +135,14 @@
         }
     }
 
-    /**
-     * A datagram that was lost, came twice or out of turn leads to a read, never to a wrong list.
-     */
+    /** A lost, duplicate or reordered delta causes a read, never a wrong list. */
     @Test
-    void lostDoubledAndReorderedNewsAreNoticed() {
+    void lostDuplicateAndReorderedDeltasAreDetected() {
         List<TargetEntry> one = list(Set.of(1), Set.of());
         List<TargetEntry> two = list(Set.of(1, 2), Set.of());
         List<TargetEntry> three = list(Set.of(2, 3), Set.of());
-        TargetNews first = between(one, two, 1);
-        TargetNews second = between(two, three, 2);
+        TargetListDelta first = between(one, two, 1);
+        TargetListDelta second = between(two, three, 2);
         assertThat(apply(second, one).isPresent()).isFalse();
         List<TargetEntry> known = apply(second, apply(first, one).orElseThrow()).orElseThrow();
         assertThat(known).containsExactlyElementsIn(three);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.know;
 
 import org.forkseam.core.member.Evacuations;
-import org.forkseam.core.share.ReaderRole;
+import org.forkseam.core.share.StoreReaderRole;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.store.StoreTime;
 import org.forkseam.core.traffic.ConfigChange;
@@ -42,7 +42,7 @@
     private final FleetSource mSource;
     private final Listener mListener;
     private final Evacuations mEvacuations = Evacuations.create();
-    private final ReaderRole mRole = ReaderRole.of(HEARD_MILLIS);
+    private final StoreReaderRole mRole = StoreReaderRole.of(HEARD_MILLIS);
     private TrafficConfig mConfig = TrafficConfig.none();
     private StorePosition mPosition = StorePosition.NONE;
     private long mConfirmedAt;
@@ -147,7 +147,7 @@
         if (isStopped()) {
             return;
         }
-        long quiet = mRole.quietMillis(now());
+        long quiet = mRole.standbyMillis(now());
         if (quiet > 0) {
             later(quiet + spread(), this::follow);
             return;
@@ -269,7 +269,7 @@
         }
         mConfirmedAt = now();
         if (link().goesBefore(sender)) {
-            mRole.onHeard(mConfirmedAt);
+            mRole.onReaderHeard(mConfirmedAt);
         }
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
@@ -8,7 +8,7 @@
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.member.TargetEntry;
 import org.forkseam.core.route.PromptHolderIndex;
-import org.forkseam.core.share.LoadExchange;
+import org.forkseam.core.share.LoadGossip;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.traffic.TrafficConfig;
 import org.forkseam.core.util.Clock;
@@ -145,7 +145,7 @@
         mLoop.execute(mRows::start);
         mLoop.execute(mQuarantine::start);
         every(mSeats.planMillis(), () -> mSeats.plan(config()));
-        every(LoadExchange.PERIOD_MILLIS, this::tellLearned);
+        every(LoadGossip.PERIOD_MILLIS, this::tellLearned);
         return mLink.listen();
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Learned.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Learned.java
@@ -4,10 +4,10 @@
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.route.PromptHolderIndex;
-import org.forkseam.core.share.FactExchange;
-import org.forkseam.core.share.HolderFact;
-import org.forkseam.core.share.LoadExchange;
+import org.forkseam.core.share.GossipQueue;
+import org.forkseam.core.share.LoadGossip;
 import org.forkseam.core.share.LoadReading;
+import org.forkseam.core.share.PromptHolder;
 import org.forkseam.core.util.Clock;
 
 import java.util.List;
@@ -21,8 +21,8 @@
     private final Clock mClock;
     private final TargetDirectory mTargets;
     private final PromptHolderIndex mHolders = PromptHolderIndex.create();
-    private final FactExchange<HolderFact> mHolderNews =
-            FactExchange.of(HolderFact.MAX_FACTS, f -> 0);
+    private final GossipQueue<PromptHolder> mHolderNews =
+            GossipQueue.of(PromptHolder.MAX_PER_MESSAGE, f -> 0);
     private final Quarantine mQuarantine;
     private final TargetWords mWords;
 
@@ -45,14 +45,14 @@
     void onAnswered(long key, Target t, boolean known) {
         boolean news = mHolders.onAnswered(key, t.start(), mClock.nowMillis());
         if (news && !known) {
-            mHolderNews.add(new HolderFact(key, t.shortHash()));
+            mHolderNews.add(new PromptHolder(key, t.shortHash()));
         }
     }
 
     /** Returns what another router should be told, if there is anything. */
     Optional<PeerMessage> news() {
-        List<LoadReading> loads = LoadExchange.digest(mTargets.all(), mClock.nowMillis());
-        List<HolderFact> holders = mHolderNews.digest();
+        List<LoadReading> loads = LoadGossip.newestReadings(mTargets.all(), mClock.nowMillis());
+        List<PromptHolder> holders = mHolderNews.nextBatch();
         List<CrashFact> crashes = mQuarantine.news();
         List<Integer> leaving = mWords.news();
         return loads.isEmpty() && holders.isEmpty() && crashes.isEmpty() && leaving.isEmpty()
@@ -62,15 +62,15 @@
 
     /** Takes in what another router has learned. */
     void take(PeerMessage.Learned l) {
-        LoadExchange.take(l.loads(), mTargets::findByShortHash, mClock.nowMillis());
-        for (HolderFact f : l.holders()) {
+        LoadGossip.apply(l.loads(), mTargets::findByShortHash, mClock.nowMillis());
+        for (PromptHolder f : l.holders()) {
             mTargets.findByShortHash(f.target()).ifPresent(t -> takeHolder(f, t));
         }
         mQuarantine.take(l.crashes());
         mWords.take(l.leaving());
     }
 
-    private void takeHolder(HolderFact f, Target t) {
+    private void takeHolder(PromptHolder f, Target t) {
         if (mHolders.onAnswered(f.key(), t.start(), mClock.nowMillis())) {
             mHolderNews.add(f);
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerCodec.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerCodec.java
@@ -5,9 +5,9 @@
 
 import org.forkseam.core.crash.CrashFact;
 import org.forkseam.core.member.TargetEntry;
-import org.forkseam.core.share.HolderFact;
 import org.forkseam.core.share.LoadReading;
-import org.forkseam.core.share.TargetNews;
+import org.forkseam.core.share.PromptHolder;
+import org.forkseam.core.share.TargetListDelta;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
@@ -113,12 +113,12 @@
 
     // ---------------------------------------------------------------- targets
 
-    private static ByteBuf writeTargets(TargetNews n) {
+    private static ByteBuf writeTargets(TargetListDelta n) {
         ByteBuf b = begin(TARGETS);
         b.writeLong(n.readAt());
         write(b, n.position());
-        b.writeLong(n.after());
-        b.writeShort(n.more());
+        b.writeLong(n.resultFingerprint());
+        b.writeShort(n.remainingSteps());
         b.writeShort(n.changed().size());
         for (TargetEntry e : n.changed()) {
             Texts.write(b, e.id());
@@ -151,7 +151,7 @@
                             b.readLong()));
         }
         return new PeerMessage.Targets(
-                new TargetNews(readAt, position, after, more, changed, Texts.readAll(b)));
+                new TargetListDelta(readAt, position, after, more, changed, Texts.readAll(b)));
     }
 
     // ---------------------------------------------------------------- rows
@@ -192,7 +192,7 @@
             b.writeInt(r.target()).writeShort(r.load()).writeShort(r.ageMillis());
         }
         b.writeShort(l.holders().size());
-        for (HolderFact f : l.holders()) {
+        for (PromptHolder f : l.holders()) {
             b.writeLong(f.key()).writeInt(f.target());
         }
         b.writeShort(l.crashes().size());
@@ -209,9 +209,9 @@
         for (int i = b.readUnsignedShort(); i > 0; i--) {
             loads.add(new LoadReading(b.readInt(), b.readUnsignedShort(), b.readUnsignedShort()));
         }
-        List<HolderFact> holders = new ArrayList<>();
+        List<PromptHolder> holders = new ArrayList<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
-            holders.add(new HolderFact(b.readLong(), b.readInt()));
+            holders.add(new PromptHolder(b.readLong(), b.readInt()));
         }
         List<CrashFact> crashes = new ArrayList<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerMessage.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerMessage.java
@@ -2,9 +2,9 @@
 
 import org.forkseam.core.crash.CrashFact;
 import org.forkseam.core.member.Evacuations;
-import org.forkseam.core.share.HolderFact;
 import org.forkseam.core.share.LoadReading;
-import org.forkseam.core.share.TargetNews;
+import org.forkseam.core.share.PromptHolder;
+import org.forkseam.core.share.TargetListDelta;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.store.StoreTime;
 import org.forkseam.core.traffic.ConfigChange;
@@ -77,7 +77,7 @@
      *
      * @param news the change, or a step of it
      */
-    record Targets(TargetNews news) implements PeerMessage {
+    record Targets(TargetListDelta news) implements PeerMessage {
         @Override
         public Optional<StorePosition> storePosition() {
             return Optional.of(news.position());
@@ -135,7 +135,7 @@
      */
     record Learned(
             List<LoadReading> loads,
-            List<HolderFact> holders,
+            List<PromptHolder> holders,
             List<CrashFact> crashes,
             List<Integer> leaving)
             implements PeerMessage {}
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
@@ -3,7 +3,7 @@
 import org.forkseam.core.crash.CrashFact;
 import org.forkseam.core.crash.CrashSuspects;
 import org.forkseam.core.crash.QuarantineTerm;
-import org.forkseam.core.share.FactExchange;
+import org.forkseam.core.share.GossipQueue;
 import org.forkseam.core.util.Hashes;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
@@ -48,8 +48,8 @@
     private final QuarantineRows mRows;
     private final CrashWarnings mWarnings;
     private final CrashSuspects mSuspects = CrashSuspects.create();
-    private final FactExchange<CrashFact> mNews =
-            FactExchange.of(CrashFact.MAX_FACTS, f -> mSuspects.crashes(f.content()));
+    private final GossipQueue<CrashFact> mNews =
+            GossipQueue.of(CrashFact.MAX_FACTS, f -> mSuspects.crashes(f.content()));
     private int mWriteFailures;
 
     /** Says what to do with a request. */
@@ -180,7 +180,7 @@
 
     /** Returns what another router should be told. */
     List<CrashFact> news() {
-        return mNews.digest();
+        return mNews.nextBatch();
     }
 
     /** Takes in what another router has learned. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
@@ -1,6 +1,6 @@
 package org.forkseam.direct.know;
 
-import org.forkseam.core.share.ReaderRole;
+import org.forkseam.core.share.StoreReaderRole;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.store.StoreTime;
 import org.forkseam.direct.log.Event;
@@ -38,7 +38,7 @@
 
     private final SharedRows mRows;
     private final Consumer<SharedRow> mListener;
-    private final ReaderRole mRole = ReaderRole.of(HEARD_MILLIS);
+    private final StoreReaderRole mRole = StoreReaderRole.of(HEARD_MILLIS);
     private final RowTable mTable = new RowTable();
     private final RowRestorer mRestorer;
     private StorePosition mPosition = StorePosition.NONE;
@@ -176,7 +176,7 @@
         if (isStopped()) {
             return;
         }
-        long quiet = mRole.quietMillis(now());
+        long quiet = mRole.standbyMillis(now());
         if (quiet > 0) {
             later(quiet + spread(), this::follow);
             return;
@@ -242,7 +242,7 @@
         }
         noteStoreClock(m.readTime());
         if (link().goesBefore(sender)) {
-            mRole.onHeard(now());
+            mRole.onReaderHeard(now());
         }
         if (!m.until().isAfter(mPosition) || !mRead) {
             return;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
@@ -3,7 +3,7 @@
 import org.forkseam.core.member.TargetChange;
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.member.TargetEntry;
-import org.forkseam.core.share.TargetNews;
+import org.forkseam.core.share.TargetListDelta;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.store.StoreTime;
 import org.forkseam.direct.log.Event;
@@ -45,7 +45,7 @@
     private final FleetSource mSource;
     private final TargetDirectory mTargets = TargetDirectory.create();
     private long mPauseMillis;
-    private TargetNews.Listed mList = TargetNews.Listed.of(List.of());
+    private TargetListDelta.Snapshot mList = TargetListDelta.Snapshot.of(List.of());
     private final Consumer<String> mOnRestart;
     private StoreTime mReadAt = StoreTime.NEVER;
     private int mStepsLeft;
@@ -149,14 +149,15 @@
             readNext();
             return;
         }
-        TargetNews.Listed list = TargetNews.Listed.of(read.value());
-        TargetNews news = TargetNews.between(mList.entries(), list, read.readAt(), read.position());
+        TargetListDelta.Snapshot list = TargetListDelta.Snapshot.of(read.value());
+        TargetListDelta news =
+                TargetListDelta.between(mList.entries(), list, read.readAt(), read.position());
         boolean first = !mListed;
         take(list, read.position(), now);
         mReadAt = read.readTime();
         mStepsLeft = 0;
         if (telling == Telling.ALL) {
-            tell(first ? List.of() : news.inSteps(STEP_ENTRIES), news);
+            tell(first ? List.of() : news.split(STEP_ENTRIES), news);
         }
         readNext();
     }
@@ -205,7 +206,7 @@
         return until;
     }
 
-    private void take(TargetNews.Listed list, StorePosition position, long confirmedAt) {
+    private void take(TargetListDelta.Snapshot list, StorePosition position, long confirmedAt) {
         mListed = true;
         mConfirmedAt = confirmedAt;
         mTargets.apply(position, list.entries(), now()).forEach(this::onChange);
@@ -250,14 +251,16 @@
     // ---------------------------------------------------------------- other routers
 
     /** Tells the steps of a change; if one does not fit, or there is none, what was read. */
-    private void tell(List<TargetNews> steps, TargetNews whole) {
+    private void tell(List<TargetListDelta> steps, TargetListDelta whole) {
         boolean few = steps.size() * (long) link().others() <= MAX_MESSAGES;
         if (few
                 && !steps.isEmpty()
                 && steps.stream().allMatch(s -> link().tell(new PeerMessage.Targets(s)))) {
             return;
         }
-        link().tell(new PeerNotice(PeerNotice.Kind.LIST, whole.readTime(), whole.after()));
+        link().tell(
+                        new PeerNotice(
+                                PeerNotice.Kind.LIST, whole.readTime(), whole.resultFingerprint()));
     }
 
     /** Takes it in that another router has read the list, and found this one's or another. */
@@ -276,22 +279,22 @@
      * Takes it in that another router has read the list and found it changed; steps of one change
      * have the same time of reading.
      */
-    void onNews(TargetNews news) {
+    void onNews(TargetListDelta news) {
         boolean nextStep = mStepsLeft > 0 && news.readTime().equals(mReadAt);
         if (isOutOfTurn(news.readTime()) && !nextStep) {
             return;
         }
-        if (news.after() == mList.fingerprint()) {
+        if (news.resultFingerprint() == mList.fingerprint()) {
             confirm(news.readTime());
             return;
         }
-        TargetNews.Listed list = news.applyTo(mList);
-        if (!news.isRight(list) || news.position().isBefore(mTargets.position())) {
+        TargetListDelta.Snapshot list = news.applyTo(mList);
+        if (!news.isConsistent(list) || news.position().isBefore(mTargets.position())) {
             read(Telling.NOBODY);
             return;
         }
         mReadAt = news.readTime();
-        mStepsLeft = news.more();
+        mStepsLeft = news.remainingSteps();
         take(list, news.position(), inOwnTime(mReadAt));
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetWords.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetWords.java
@@ -4,7 +4,7 @@
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.member.TargetStart;
 import org.forkseam.core.member.TargetWord;
-import org.forkseam.core.share.FactExchange;
+import org.forkseam.core.share.GossipQueue;
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.log.Event;
@@ -36,7 +36,7 @@
 
     private final TargetDirectory mTargets;
     private final Clock mClock;
-    private final FactExchange<Integer> mLeaving = FactExchange.of(MAX_LEAVING, f -> 0);
+    private final GossipQueue<Integer> mLeaving = GossipQueue.of(MAX_LEAVING, f -> 0);
     private final Map<TargetStart, Boolean> mLogged = BoundedMap.byInsertion(MAX_LOGGED);
     private final Map<Word, Long> mCounts = new EnumMap<>(Word.class);
 
@@ -104,7 +104,7 @@
 
     /** Returns which starts of targets another router should be told to be leaving. */
     List<Integer> news() {
-        return mLeaving.digest();
+        return mLeaving.nextBatch();
     }
 
     /** Takes in which starts of targets another router knows to be leaving. */
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerCodecTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerCodecTest.java
@@ -11,10 +11,10 @@
 
 import org.forkseam.core.crash.CrashFact;
 import org.forkseam.core.member.TargetEntry;
-import org.forkseam.core.share.HolderFact;
-import org.forkseam.core.share.LoadExchange;
+import org.forkseam.core.share.LoadGossip;
 import org.forkseam.core.share.LoadReading;
-import org.forkseam.core.share.TargetNews;
+import org.forkseam.core.share.PromptHolder;
+import org.forkseam.core.share.TargetListDelta;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.store.StoreTime;
 import org.forkseam.core.traffic.CallerLimits;
@@ -42,7 +42,7 @@
             new PeerMessage.Operators(1, StorePosition.of(1, 2), 3, -4, List.of("hall-a", "ö"));
     private static final PeerMessage TARGETS =
             new PeerMessage.Targets(
-                    new TargetNews(
+                    new TargetListDelta(
                             5,
                             StorePosition.of(2, 6),
                             Long.MIN_VALUE,
@@ -59,7 +59,7 @@
     private static final PeerMessage LEARNED =
             new PeerMessage.Learned(
                     List.of(new LoadReading(-5, 17, 999), new LoadReading(3, 0, 0)),
-                    List.of(new HolderFact(Long.MAX_VALUE, -7)),
+                    List.of(new PromptHolder(Long.MAX_VALUE, -7)),
                     List.of(new CrashFact(-9, 11), CrashFact.answered(12)),
                     List.of(13, -14));
 
@@ -135,9 +135,9 @@
         for (int i = 0; i < 40; i++) {
             many.add(new TargetEntry("i-" + i, "pool", "10.1.0.40:8001", "hall-a", 12, false, 0));
         }
-        TargetNews news =
-                TargetNews.between(
-                        List.of(), TargetNews.Listed.of(many), 1, StorePosition.of(0, 1));
+        TargetListDelta news =
+                TargetListDelta.between(
+                        List.of(), TargetListDelta.Snapshot.of(many), 1, StorePosition.of(0, 1));
         assertThat(PeerCodec.write(new PeerMessage.Targets(news)).isPresent()).isFalse();
     }
 
@@ -145,12 +145,12 @@
     @Test
     void whatWasLearnedCostsAsReckoned() {
         List<LoadReading> loads = new ArrayList<>();
-        for (int i = 0; i < LoadExchange.MAX_READINGS; i++) {
+        for (int i = 0; i < LoadGossip.MAX_READINGS; i++) {
             loads.add(new LoadReading(i, 12, 500));
         }
-        List<HolderFact> facts = new ArrayList<>();
-        for (int i = 0; i < HolderFact.MAX_FACTS; i++) {
-            facts.add(new HolderFact(i, i));
+        List<PromptHolder> facts = new ArrayList<>();
+        for (int i = 0; i < PromptHolder.MAX_PER_MESSAGE; i++) {
+            facts.add(new PromptHolder(i, i));
         }
         List<CrashFact> crashes = new ArrayList<>();
         for (int i = 0; i < CrashFact.MAX_FACTS; i++) {
@@ -168,7 +168,7 @@
 
     private static int bytes(
             List<LoadReading> loads,
-            List<HolderFact> facts,
+            List<PromptHolder> facts,
             List<CrashFact> crashes,
             List<Integer> leaving) {
         return written(new PeerMessage.Learned(loads, facts, crashes, leaving)).readableBytes();
