--- a/forkseam-core/src/main/java/org/forkseam/core/cfg/ConfigChange.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/cfg/ConfigChange.java
@@ -8,20 +8,21 @@
 import java.util.TreeSet;
 
 /**
- * Holds one accepted step from a configuration version to the next.
+ * Holds an accepted change from one configuration version to the next.
  *
- * <p>The hash covers the parent's hash and the whole step, so that a daemon which takes changes
- * from a peer sees at once when they do not continue its own history.
+ * <p>The hash covers the parent's hash and the content, so that a daemon that receives changes from
+ * a peer detects those that do not continue its own history.
  *
- * @param version the version this change leads to
- * @param parentHash hash of the version before
+ * @param version the version that results from the change
+ * @param parentHash hash of the previous version
  * @param hash hash of this version
- * @param changeId chosen by who made the change; settles whether a lost answer took effect
- * @param author who made it
- * @param atMillis when, by the author's clock; shown, never decided upon
- * @param note why, in the author's words
+ * @param changeId id chosen by the author's client; tells whether a change took effect if the
+ *     answer was lost
+ * @param author who made the change
+ * @param atMillis when the change was made, by the author's clock; only for display
+ * @param note the author's comment
  * @param set sections written, each with all its keys
- * @param removed sections taken away
+ * @param removed sections removed
  */
 public record ConfigChange(
         long version,
@@ -34,7 +35,7 @@
         Map<String, Map<String, String>> set,
         Set<String> removed) {
 
-    /** Creates the change that follows a parent and computes its hash. */
+    /** Creates the change that follows a parent version and computes its hash. */
     public static ConfigChange of(
             FleetConfig parent,
             String changeId,
@@ -44,16 +45,25 @@
             Map<String, Map<String, String>> set,
             Set<String> removed) {
         Map<String, Map<String, String>> sorted = sort(set);
-        Set<String> gone = new TreeSet<>(removed);
+        Set<String> sortedRemoved = new TreeSet<>(removed);
         long version = parent.version() + 1;
-        String hash = hash(version, parent.hash(), changeId, sorted, gone);
+        String hash = computeHash(version, parent.hash(), changeId, sorted, sortedRemoved);
         return new ConfigChange(
-                version, parent.hash(), hash, changeId, author, atMillis, note, sorted, gone);
+                version,
+                parent.hash(),
+                hash,
+                changeId,
+                author,
+                atMillis,
+                note,
+                sorted,
+                sortedRemoved);
     }
 
-    /** Returns whether the hash is that of the content. */
-    public boolean isIntact() {
-        return hash.equals(hash(version, parentHash, changeId, sort(set), new TreeSet<>(removed)));
+    /** Returns whether the hash matches the content. */
+    public boolean isHashValid() {
+        return hash.equals(
+                computeHash(version, parentHash, changeId, sort(set), new TreeSet<>(removed)));
     }
 
     private static Map<String, Map<String, String>> sort(Map<String, Map<String, String>> set) {
@@ -62,7 +72,7 @@
         return sorted;
     }
 
-    private static String hash(
+    private static String computeHash(
             long version,
             String parent,
             String changeId,
--- a/forkseam-core/src/main/java/org/forkseam/core/cfg/ConfigLog.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/cfg/ConfigLog.java
@@ -7,60 +7,59 @@
 import java.util.Optional;
 
 /**
- * Holds the configuration in force on one daemon and the latest changes that led to it.
+ * Holds a daemon's current configuration and the most recent changes that led to it.
  *
- * <p>Keeps the promise that an accepted configuration never reverts: a version is put in force only
- * if it is greater than the present one and continues it by hash chain, or comes whole with a
- * greater version. Not thread-safe.
+ * <p>An accepted configuration never reverts: a change applies only if it continues the current
+ * version by its hash chain, and a snapshot only if its version is greater. Not thread-safe.
  *
  * @since 0.1
  */
 public final class ConfigLog {
-    /** Changes kept for peers that are behind; further behind, they get the whole configuration. */
-    static final int KEPT = 64;
+    /** Limit of changes kept; peers that are further behind get a snapshot. */
+    static final int MAX_HISTORY = 64;
 
-    private FleetConfig mInForce = FleetConfig.empty();
+    private FleetConfig mCurrent = FleetConfig.empty();
     private final Deque<ConfigChange> mChanges = new ArrayDeque<>();
 
-    /** Returns the configuration in force. */
-    public FleetConfig inForce() {
-        return mInForce;
+    /** Returns the current configuration. */
+    public FleetConfig current() {
+        return mCurrent;
     }
 
-    /** Returns the latest changes, the oldest first. */
+    /** Returns the most recent changes, oldest first. */
     public List<ConfigChange> history() {
         return new ArrayList<>(mChanges);
     }
 
-    /** Puts changes in force as far as they continue the present version; returns if any did. */
+    /** Applies those changes that continue the current version; returns whether there were any. */
     public boolean apply(List<ConfigChange> changes) {
-        boolean any = false;
+        boolean applied = false;
         for (ConfigChange c : changes) {
-            Optional<FleetConfig> next = mInForce.with(c);
+            Optional<FleetConfig> next = mCurrent.with(c);
             if (next.isEmpty()) {
                 continue;
             }
-            mInForce = next.get();
+            mCurrent = next.get();
             mChanges.addLast(c);
-            if (mChanges.size() > KEPT) {
+            if (mChanges.size() > MAX_HISTORY) {
                 mChanges.removeFirst();
             }
-            any = true;
+            applied = true;
         }
-        return any;
+        return applied;
     }
 
-    /** Puts a whole configuration in force if it is of a greater version. */
-    public boolean applyWhole(FleetConfig whole) {
-        if (whole.version() <= mInForce.version()) {
+    /** Applies a complete configuration if its version is greater than the current one. */
+    public boolean applySnapshot(FleetConfig snapshot) {
+        if (snapshot.version() <= mCurrent.version()) {
             return false;
         }
-        mInForce = whole;
+        mCurrent = snapshot;
         mChanges.clear();
         return true;
     }
 
-    /** Returns the changes that follow a version, or empty if they are no longer all kept. */
+    /** Returns the changes after a version, or empty if some are no longer kept. */
     public Optional<List<ConfigChange>> since(long version) {
         List<ConfigChange> out = new ArrayList<>();
         for (ConfigChange c : mChanges) {
@@ -68,7 +67,7 @@
                 out.add(c);
             }
         }
-        boolean whole = out.size() == mInForce.version() - version;
-        return whole ? Optional.of(out) : Optional.empty();
+        boolean complete = out.size() == mCurrent.version() - version;
+        return complete ? Optional.of(out) : Optional.empty();
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/cfg/ConfigReader.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/cfg/ConfigReader.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 
-/** Reads the sections of a configuration into typed values and notes every fault on the way. */
+/** Parses configuration sections into typed values and collects all findings. */
 final class ConfigReader {
     private static final int MAX_PRIORITY = 9;
     private static final Map<String, Set<String>> KEYS =
@@ -44,14 +44,14 @@
     private final Map<String, TargetSpec> mTargets = new TreeMap<>();
     private final Map<String, IntentSpec> mIntents = new TreeMap<>();
     private final Map<String, DeploymentSpec> mDeployments = new TreeMap<>();
-    private List<IntentSpec> mOrdered = List.of();
+    private List<IntentSpec> mSortedIntents = List.of();
 
     private ConfigReader() {}
 
     static ConfigReader read(Map<String, Map<String, String>> sections) {
         ConfigReader r = new ConfigReader();
         sections.forEach(r::readSection);
-        r.mOrdered = FleetConfig.inOrder(r.mIntents.values());
+        r.mSortedIntents = FleetConfig.sortByOrder(r.mIntents.values());
         r.checkReferences();
         return r;
     }
@@ -77,7 +77,7 @@
     }
 
     List<IntentSpec> intents() {
-        return mOrdered;
+        return mSortedIntents;
     }
 
     private void readSection(String section, Map<String, String> values) {
@@ -86,7 +86,7 @@
         String name = space < 0 ? "" : section.substring(space + 1).trim();
         Set<String> keys = KEYS.get(kind);
         if (keys == null || name.isEmpty() || name.contains(" ")) {
-            add(
+            addFinding(
                     section,
                     "",
                     "",
@@ -96,7 +96,8 @@
         Section s = new Section(section, values);
         for (String key : values.keySet()) {
             if (!keys.contains(key)) {
-                add(section, key, values.get(key), "one of " + String.join(", ", sorted(keys)));
+                addFinding(
+                        section, key, values.get(key), "one of " + String.join(", ", sorted(keys)));
             }
         }
         switch (kind) {
@@ -142,26 +143,26 @@
     private void readTarget(String name, Section s) {
         String drained = s.values().getOrDefault("drained", "false");
         if (!drained.equals("true") && !drained.equals("false")) {
-            add(s.name(), "drained", drained, "true or false");
+            addFinding(s.name(), "drained", drained, "true or false");
         }
         mTargets.put(name, new TargetSpec(name, s.labels(), drained.equals("true")));
     }
 
     private void readDeployment(String name, Section s) {
-        EngineState wish =
+        EngineState desired =
                 new EngineState(
                         s.values().getOrDefault("model", ""),
                         s.values().getOrDefault("adapter", ""),
                         s.values().getOrDefault("version", ""),
                         s.values().getOrDefault("role", ""));
-        if (wish.model().isEmpty()) {
-            add(s.name(), "model", "", "the name of a model");
+        if (desired.model().isEmpty()) {
+            addFinding(s.name(), "model", "", "the name of a model");
         }
         DeploymentSpec d =
                 new DeploymentSpec(
                         name,
                         s.selector(),
-                        wish,
+                        desired,
                         (int) s.number("targets", 0, 0, 100_000),
                         (int) s.number("max-unavailable", 1, 1, 1_000));
         mDeployments.put(name, d);
@@ -170,10 +171,10 @@
     private void checkReferences() {
         List<String> earlier = new ArrayList<>();
         String catchAll = null;
-        for (IntentSpec i : mOrdered) {
+        for (IntentSpec i : mSortedIntents) {
             String section = "intent " + i.name();
             if (!mPools.containsKey(i.pool())) {
-                add(
+                addFinding(
                         section,
                         "pool",
                         i.pool(),
@@ -181,8 +182,12 @@
             }
             String text = i.selector().toString();
             if (catchAll != null || earlier.contains(text)) {
-                String by = catchAll != null ? catchAll : text;
-                add(section, "selector", text, "an intent not shadowed by an earlier one: " + by);
+                String shadowedBy = catchAll != null ? catchAll : text;
+                addFinding(
+                        section,
+                        "selector",
+                        text,
+                        "an intent not shadowed by an earlier one: " + shadowedBy);
             }
             earlier.add(text);
             if (i.selector().equals(Selector.all())) {
@@ -191,7 +196,7 @@
         }
     }
 
-    private void add(String section, String key, String value, String allowed) {
+    private void addFinding(String section, String key, String value, String allowed) {
         mFindings.add(new Finding(section, key, value, allowed, true));
     }
 
@@ -199,7 +204,7 @@
         return keys.stream().sorted().toList();
     }
 
-    /** Gives typed access to one section's keys. */
+    /** Provides typed access to the keys of a section. */
     private final class Section {
         private final String mName;
         private final Map<String, String> mValues;
@@ -218,11 +223,11 @@
         }
 
         Selector selector() {
-            return parsed("selector", Selector::parse, Selector.all());
+            return parse("selector", Selector::parse, Selector.all());
         }
 
         Labels labels() {
-            return parsed("labels", Labels::parse, Labels.empty());
+            return parse("labels", Labels::parse, Labels.empty());
         }
 
         PoolSpec.Preference preference() {
@@ -232,14 +237,14 @@
                     return p;
                 }
             }
-            add(mName, "prefer", v, "skew or reuse");
+            addFinding(mName, "prefer", v, "skew or reuse");
             return PoolSpec.Preference.SKEW;
         }
 
-        double number(String key, double preset, double min, double max) {
+        double number(String key, double defaultValue, double min, double max) {
             String v = mValues.get(key);
             if (v == null) {
-                return preset;
+                return defaultValue;
             }
             String allowed = "a number from " + min + " to " + max;
             try {
@@ -250,20 +255,20 @@
             } catch (NumberFormatException e) {
                 allowed = allowed + ", in digits";
             }
-            add(mName, key, v, allowed);
-            return preset;
+            addFinding(mName, key, v, allowed);
+            return defaultValue;
         }
 
-        private <T> T parsed(String key, Function<String, T> parser, T preset) {
+        private <T> T parse(String key, Function<String, T> parser, T defaultValue) {
             String v = mValues.get(key);
             if (v == null) {
-                return preset;
+                return defaultValue;
             }
             try {
                 return parser.apply(v);
             } catch (LabelSyntaxException e) {
-                add(mName, key, v, e.getMessage());
-                return preset;
+                addFinding(mName, key, v, e.getMessage());
+                return defaultValue;
             }
         }
     }
--- a/forkseam-core/src/main/java/org/forkseam/core/cfg/Finding.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/cfg/Finding.java
@@ -1,16 +1,16 @@
 package org.forkseam.core.cfg;
 
 /**
- * Names one fault in a declared configuration.
+ * Describes a problem in a declared configuration.
  *
- * @param section the section at fault, such as {@code pool briefing}
- * @param key the key at fault, or empty when the section as a whole is
+ * @param section the section concerned, such as {@code pool briefing}
+ * @param key the key concerned, or empty for the whole section
  * @param value the value found
- * @param allowed what would have been accepted
- * @param error true if the configuration is refused for it, false for a warning
+ * @param allowed description of the allowed values
+ * @param error true if the configuration is rejected, false for a warning
  */
 public record Finding(String section, String key, String value, String allowed, boolean error) {
-    /** Describes the finding on one line. */
+    /** Formats the finding as one line. */
     @Override
     public String toString() {
         String place = "[" + section + "]" + (key.isEmpty() ? "" : " " + key + " = " + value);
--- a/forkseam-core/src/main/java/org/forkseam/core/cfg/FleetConfig.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/cfg/FleetConfig.java
@@ -13,10 +13,10 @@
 import java.util.TreeMap;
 
 /**
- * Holds one version of the operators' declared configuration.
+ * Holds a version of the configuration declared by operators.
  *
- * <p>Immutable. {@link #with} is the only way from one version to the next, and it refuses a change
- * that does not follow: that is what keeps a configuration from reverting.
+ * <p>{@link #with} rejects changes that do not continue this version, so that a configuration
+ * cannot revert. Immutable.
  *
  * @since 0.1
  */
@@ -35,21 +35,24 @@
         mReader = ConfigReader.read(sections);
     }
 
-    /** Returns the configuration before the first change: version 0, nothing declared. */
+    /** Returns the empty configuration, version 0. */
     public static FleetConfig empty() {
         return EMPTY;
     }
 
-    /** Returns a whole configuration taken from a snapshot. */
+    /** Creates a configuration from a snapshot. */
     public static FleetConfig of(
             long version, String hash, Map<String, Map<String, String>> sections) {
         return new FleetConfig(version, hash, copy(sections));
     }
 
-    /** Returns the next version, or empty if the change does not follow this one intact. */
+    /**
+     * Returns the next version, or empty if the change does not continue this version or its hash
+     * is invalid.
+     */
     public Optional<FleetConfig> with(ConfigChange change) {
         boolean follows = change.version() == mVersion + 1 && change.parentHash().equals(mHash);
-        if (!follows || !change.isIntact()) {
+        if (!follows || !change.isHashValid()) {
             return Optional.empty();
         }
         Map<String, Map<String, String>> sections = new TreeMap<>(mSections);
@@ -66,7 +69,7 @@
 
     // ---------------------------------------------------------------- accessors
 
-    /** Returns the version; grows by one with each accepted change. */
+    /** Returns the version, which increases by one with each accepted change. */
     public long version() {
         return mVersion;
     }
@@ -76,12 +79,12 @@
         return mHash;
     }
 
-    /** Returns all sections by name, each with its keys. */
+    /** Returns all sections with their keys, by name. */
     public Map<String, Map<String, String>> sections() {
         return mSections;
     }
 
-    /** Returns the faults found while reading the sections. */
+    /** Returns the problems found while parsing the sections. */
     public List<Finding> findings() {
         return mReader.findings();
     }
@@ -96,7 +99,7 @@
         return mReader.pools().values();
     }
 
-    /** Returns a team by name; an undeclared team has weight 1 and no quota. */
+    /** Returns a team by name, with defaults if it is not declared. */
     public TeamSpec team(String name) {
         TeamSpec t = mReader.teams().get(name);
         return t == null ? TeamSpec.undeclared(name) : t;
@@ -107,7 +110,7 @@
         return mReader.teams().values();
     }
 
-    /** Returns the intents in the order in which they are tried. */
+    /** Returns the intents in the order of evaluation. */
     public List<IntentSpec> intents() {
         return mReader.intents();
     }
@@ -117,13 +120,13 @@
         return mReader.deployments().values();
     }
 
-    /** Returns the labels that operators gave a target. */
+    /** Returns the labels that operators set on a target. */
     public Labels targetLabels(String target) {
         TargetSpec t = mReader.targets().get(target);
         return t == null ? Labels.empty() : t.labels();
     }
 
-    /** Returns whether operators asked a target to take no new work. */
+    /** Returns whether operators drain a target. */
     public boolean isDrained(String target) {
         TargetSpec t = mReader.targets().get(target);
         return t != null && t.drained();
@@ -139,7 +142,7 @@
         return Optional.empty();
     }
 
-    static List<IntentSpec> inOrder(Collection<IntentSpec> intents) {
+    static List<IntentSpec> sortByOrder(Collection<IntentSpec> intents) {
         List<IntentSpec> sorted = new ArrayList<>(intents);
         sorted.sort(Comparator.comparingInt(IntentSpec::order).thenComparing(IntentSpec::name));
         return List.copyOf(sorted);
--- a/forkseam-core/src/main/java/org/forkseam/core/cfg/PoolSpec.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/cfg/PoolSpec.java
@@ -5,14 +5,14 @@
 import java.time.Duration;
 
 /**
- * Declares a pool: the targets that a selector finds, and how load is spread over them.
+ * Declares a pool: its targets and how load is distributed over them.
  *
  * @param name the pool's name
- * @param selector chooses the pool's targets by their labels
- * @param maxLoadMultiple no target takes a request that puts it above this multiple of the mean
- * @param prefer what goes first when cached prefixes and even load disagree
- * @param queueLimit requests that may wait at one target, over all teams
- * @param deadline used for requests that bring none
+ * @param selector matches the labels of the pool's targets
+ * @param maxLoadMultiple bound on a target's load, as a multiple of the pool's mean
+ * @param prefer whether even load or reuse of cached prefixes takes precedence
+ * @param queueLimit maximum number of requests queued at a target, over all teams
+ * @param deadline default deadline of requests
  */
 public record PoolSpec(
         String name,
@@ -21,11 +21,11 @@
         Preference prefer,
         int queueLimit,
         Duration deadline) {
-    /** Says what a pool's placement weighs most. */
+    /** Tells what placement prefers. */
     public enum Preference {
-        /** Even load goes first. */
+        /** Even load takes precedence. */
         SKEW,
-        /** Cached prefixes go first. */
+        /** Reuse of cached prefixes takes precedence. */
         REUSE
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/cfg/TargetSpec.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/cfg/TargetSpec.java
@@ -3,10 +3,10 @@
 import org.forkseam.core.label.Labels;
 
 /**
- * Declares labels that operators add to one target, over those its host brings.
+ * Declares operators' settings for a target.
  *
  * @param name the target's name
- * @param labels labels that go before the host's own
- * @param drained whether operators asked the target to take no new work
+ * @param labels labels that override those set by the host
+ * @param drained whether the target is drained, so that it gets no new work
  */
 public record TargetSpec(String name, Labels labels, boolean drained) {}
--- a/forkseam-core/src/main/java/org/forkseam/core/cfg/package-info.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/cfg/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' declared configuration and its one sequence of versions. */
+/** The operators' declared configuration and its version history. */
 package org.forkseam.core.cfg;
--- a/forkseam-core/src/main/java/org/forkseam/core/kernel/Service.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/kernel/Service.java
@@ -4,28 +4,26 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Is one part of a daemon with a life of its own.
+ * Represents a component of a daemon that can be started and stopped.
  *
  * @since 0.1
  */
 public interface Service {
-    /** Returns the name by which others find it. */
+    /** Returns the unique name of the service. */
     String name();
 
-    /** Returns the names of services that must have started before. */
-    default List<String> needs() {
+    /** Returns the names of the services that must be started first. */
+    default List<String> dependencies() {
         return List.of();
     }
 
-    /** Starts; the future completes when the service is of use. */
+    /** Starts the service; the future completes when it is ready. */
     CompletableFuture<Void> start();
 
-    /** Stops in an orderly way; the future completes when nothing of it runs any more. */
+    /** Stops the service gracefully; the future completes when it has stopped entirely. */
     CompletableFuture<Void> stop();
 
-    /**
-     * Returns what the service would show in a state dump: plain maps, lists, texts and numbers.
-     */
+    /** Returns the service's part of a state dump, made of maps, lists, strings and numbers. */
     default Object dump() {
         return "";
     }
--- a/forkseam-core/src/main/java/org/forkseam/core/kernel/package-info.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/kernel/package-info.java
@@ -1,2 +1,2 @@
-/** Services that start, stop and find each other by name. */
+/** Life cycle of services. */
 package org.forkseam.core.kernel;
--- a/forkseam-core/src/main/java/org/forkseam/core/label/LabelSyntax.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/label/LabelSyntax.java
@@ -2,7 +2,7 @@
 
 import java.util.regex.Pattern;
 
-/** Checks label names and values. */
+/** Validates label names and values. */
 final class LabelSyntax {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._/-]{0,62}");
     private static final Pattern VALUE = Pattern.compile("[A-Za-z0-9._:/-]{0,128}");
--- a/forkseam-core/src/main/java/org/forkseam/core/label/LabelSyntaxException.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/label/LabelSyntaxException.java
@@ -1,11 +1,11 @@
 package org.forkseam.core.label;
 
-/** Reports a label or selector that cannot be read, with the place and what is allowed. */
+/** Thrown when a label or selector is malformed. */
 public final class LabelSyntaxException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    /** Describes the piece of text at fault and what would have been allowed there. */
-    public LabelSyntaxException(String found, String allowed) {
-        super("found '" + found + "', allowed: " + allowed);
+    /** Creates an exception from the offending text and a description of the allowed syntax. */
+    public LabelSyntaxException(String text, String allowed) {
+        super("found '" + text + "', allowed: " + allowed);
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/label/Labels.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/label/Labels.java
@@ -6,9 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * Holds the labels of a target, a team or a request: short names with one value each.
- *
- * <p>Immutable, so safe to share between threads.
+ * Holds the labels of a target, team or request. Each name has one value. Immutable and
+ * thread-safe.
  *
  * @since 0.1
  */
@@ -21,12 +20,12 @@
         mValues = values;
     }
 
-    /** Returns labels without any entry. */
+    /** Returns an empty set of labels. */
     public static Labels empty() {
         return EMPTY;
     }
 
-    /** Copies a map of names to values. */
+    /** Creates labels from a map of names to values. */
     public static Labels of(Map<String, String> values) {
         return values.isEmpty()
                 ? EMPTY
@@ -34,7 +33,7 @@
     }
 
     /**
-     * Reads {@code name=value} pairs parted by commas.
+     * Parses {@code name=value} pairs separated by commas.
      *
      * @throws LabelSyntaxException if a pair has no {@code =} or a name or value is malformed
      */
@@ -47,7 +46,7 @@
             }
             int eq = p.indexOf('=');
             if (eq <= 0) {
-                throw new LabelSyntaxException(p, "name=value pairs parted by commas");
+                throw new LabelSyntaxException(p, "name=value pairs separated by commas");
             }
             String name = LabelSyntax.checkName(p.substring(0, eq).trim());
             values.put(name, LabelSyntax.checkValue(p.substring(eq + 1).trim()));
@@ -60,19 +59,19 @@
         return Optional.ofNullable(mValues.get(name));
     }
 
-    /** Returns whether a label is there, with whatever value. */
+    /** Returns whether a label is present. */
     public boolean has(String name) {
         return mValues.containsKey(name);
     }
 
-    /** Returns a copy in which one label is set. */
+    /** Returns a copy with one label set. */
     public Labels with(String name, String value) {
         Map<String, String> values = new TreeMap<>(mValues);
         values.put(name, value);
         return of(values);
     }
 
-    /** Returns a copy in which the other's labels go before these. */
+    /** Returns a copy with the other labels added, replacing those of the same name. */
     public Labels withAll(Labels other) {
         if (other.mValues.isEmpty()) {
             return this;
@@ -97,7 +96,7 @@
         return mValues.hashCode();
     }
 
-    /** Writes the labels in the form that {@link #parse} reads. */
+    /** Formats the labels so that {@link #parse} can read them. */
     @Override
     public String toString() {
         StringBuilder sb = new StringBuilder();
--- a/forkseam-core/src/main/java/org/forkseam/core/label/Selector.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/label/Selector.java
@@ -10,19 +10,20 @@
 import java.util.regex.Pattern;
 
 /**
- * Chooses label sets by equality, set membership and existence.
+ * Matches label sets by equality, set membership and existence.
  *
- * <p>All requirements of a selector must hold. Requirements are parted by commas: {@code a=b},
- * {@code a!=b}, {@code a in (b,c)}, {@code a notin (b,c)}, {@code a} (exists), {@code !a} (does
- * not). The empty selector, also written {@code *}, matches everything. Immutable.
+ * <p>A selector is a comma-separated list of requirements that must all hold: {@code a=b}, {@code
+ * a!=b}, {@code a in (b,c)}, {@code a notin (b,c)}, {@code a} (exists) and {@code !a} (does not
+ * exist). The empty selector, also written {@code *}, matches everything. Immutable and
+ * thread-safe.
  *
  * @since 0.1
  */
 public final class Selector {
     private static final Selector ALL = new Selector("*", List.of());
-    private static final Pattern SET =
+    private static final Pattern SET_REQUIREMENT =
             Pattern.compile("(\\S+)\\s+(in|notin)\\s*\\(([^()]*)\\)", Pattern.CASE_INSENSITIVE);
-    private static final String ALLOWED =
+    private static final String SYNTAX =
             "name=value, name!=value, name in (a,b), name notin (a,b), name, !name";
 
     private final String mText;
@@ -39,7 +40,7 @@
     }
 
     /**
-     * Reads a selector.
+     * Parses a selector.
      *
      * @throws LabelSyntaxException if a requirement is malformed
      */
@@ -50,12 +51,12 @@
         }
         List<Predicate<Labels>> requirements = new ArrayList<>();
         for (String part : splitOutsideParentheses(t)) {
-            requirements.add(requirement(part.trim()));
+            requirements.add(parseRequirement(part.trim()));
         }
         return new Selector(t, List.copyOf(requirements));
     }
 
-    /** Returns whether all requirements hold for these labels. */
+    /** Returns whether the labels meet all requirements. */
     public boolean matches(Labels labels) {
         for (Predicate<Labels> r : mRequirements) {
             if (!r.test(labels)) {
@@ -65,10 +66,10 @@
         return true;
     }
 
-    private static Predicate<Labels> requirement(String part) {
-        Matcher m = SET.matcher(part);
+    private static Predicate<Labels> parseRequirement(String part) {
+        Matcher m = SET_REQUIREMENT.matcher(part);
         if (m.matches()) {
-            return setRequirement(m);
+            return parseSetRequirement(m);
         }
         int ne = part.indexOf("!=");
         if (ne > 0) {
@@ -89,13 +90,13 @@
             return l -> !l.has(name);
         }
         if (part.isEmpty() || part.contains(" ")) {
-            throw new LabelSyntaxException(part, ALLOWED);
+            throw new LabelSyntaxException(part, SYNTAX);
         }
         String name = LabelSyntax.checkName(part);
         return l -> l.has(name);
     }
 
-    private static Predicate<Labels> setRequirement(Matcher m) {
+    private static Predicate<Labels> parseSetRequirement(Matcher m) {
         String name = LabelSyntax.checkName(m.group(1));
         Set<String> values = new TreeSet<>();
         Arrays.stream(m.group(3).split(","))
--- a/forkseam-core/src/main/java/org/forkseam/core/label/package-info.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/label/package-info.java
@@ -1,2 +1,2 @@
-/** Labels and the selectors that choose by them. */
+/** Labels and label selectors. */
 package org.forkseam.core.label;
--- a/forkseam-core/src/main/java/org/forkseam/core/util/BoundedMap.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/util/BoundedMap.java
@@ -4,36 +4,36 @@
 import java.util.Map;
 
 /**
- * Is a map of at most so many entries: the eldest makes room for a new one. Not thread-safe.
+ * Evicts the eldest entry when the map exceeds its maximum size. Not thread-safe.
  *
- * @param <K> keys
- * @param <V> values
+ * @param <K> type of the keys
+ * @param <V> type of the values
  * @since 0.1
  */
 public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
     private static final long serialVersionUID = 1L;
-    private static final int FIRST_CAPACITY = 64;
+    private static final int INITIAL_CAPACITY = 64;
     private static final float LOAD_FACTOR = 0.75f;
 
-    private final int mLimit;
+    private final int mMaxEntries;
 
-    private BoundedMap(int limit, boolean byAccess) {
-        super(FIRST_CAPACITY, LOAD_FACTOR, byAccess);
-        mLimit = limit;
+    private BoundedMap(int maxEntries, boolean byAccess) {
+        super(INITIAL_CAPACITY, LOAD_FACTOR, byAccess);
+        mMaxEntries = maxEntries;
     }
 
-    /** Creates a map in which the entry put in first is the eldest. */
-    public static <K, V> BoundedMap<K, V> byInsertion(int limit) {
-        return new BoundedMap<>(limit, false);
+    /** Creates a map that evicts the entry inserted first. */
+    public static <K, V> BoundedMap<K, V> byInsertion(int maxEntries) {
+        return new BoundedMap<>(maxEntries, false);
     }
 
-    /** Creates a map in which the entry used longest ago is the eldest. */
-    public static <K, V> BoundedMap<K, V> byAccess(int limit) {
-        return new BoundedMap<>(limit, true);
+    /** Creates a map that evicts the least recently used entry. */
+    public static <K, V> BoundedMap<K, V> byAccess(int maxEntries) {
+        return new BoundedMap<>(maxEntries, true);
     }
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-        return size() > mLimit;
+        return size() > mMaxEntries;
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/util/Clock.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/util/Clock.java
@@ -1,18 +1,18 @@
 package org.forkseam.core.util;
 
-/** Tells the time in milliseconds; tests bring one that stands still until it is moved. */
+/** Provides the time in milliseconds; tests use a manually advanced clock. */
 @FunctionalInterface
 public interface Clock {
-    /** Returns milliseconds since the epoch, or since any fixed moment in tests. */
+    /** Returns the milliseconds since the epoch or another fixed origin. */
     long nowMillis();
 
-    /** Returns the machine's clock. */
+    /** Returns the system's wall clock. */
     static Clock system() {
         return System::currentTimeMillis;
     }
 
-    /** Returns a clock that keeps running whatever happens to the time of day. */
-    static Clock steady() {
+    /** Returns a clock that is not affected by changes of the system time. */
+    static Clock monotonic() {
         return () -> System.nanoTime() / 1_000_000L;
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/util/DecisionLog.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/util/DecisionLog.java
@@ -7,25 +7,25 @@
 import java.util.Map;
 
 /**
- * Remembers what was decided on the latest requests, for operators who ask why.
+ * Keeps the decisions made on recent requests, for operators.
  *
- * <p>Bounded in requests and in notes for each. Not thread-safe; used on the event loop.
+ * <p>Bounded in requests and in notes per request. Not thread-safe; used on the event loop.
  *
  * @since 0.1
  */
 public final class DecisionLog {
-    /** Requests remembered: some 400 bytes each. */
+    /** Default number of requests, of about 400 bytes each. */
     public static final int DEFAULT_SIZE = 2_000;
 
-    private static final int MAX_NOTES = 24;
+    private static final int MAX_NOTES_PER_REQUEST = 24;
 
     private final Map<String, List<Note>> mNotes;
 
     /**
      * Holds one decision.
      *
-     * @param atMillis when
-     * @param what what was decided, in the users' words
+     * @param atMillis when it was made
+     * @param what description of the decision
      * @param where the target or daemon concerned
      */
     public record Note(long atMillis, String what, String where) {}
@@ -34,26 +34,26 @@
         mNotes = BoundedMap.byInsertion(size);
     }
 
-    /** Creates a log of at most so many requests. */
+    /** Creates a log of at most {@code size} requests. */
     public static DecisionLog of(int size) {
         return new DecisionLog(size);
     }
 
-    /** Notes a decision on a request. */
-    public void note(String requestId, String what, String where) {
+    /** Adds a decision on a request. */
+    public void add(String requestId, String what, String where) {
         List<Note> notes = mNotes.computeIfAbsent(requestId, k -> new ArrayList<>(4));
-        if (notes.size() < MAX_NOTES) {
+        if (notes.size() < MAX_NOTES_PER_REQUEST) {
             notes.add(new Note(System.currentTimeMillis(), what, where));
         }
     }
 
-    /** Returns the decisions on a request, the earliest first. */
+    /** Returns the decisions on a request, oldest first. */
     public List<Note> of(String requestId) {
         return Collections.unmodifiableList(mNotes.getOrDefault(requestId, List.of()));
     }
 
-    /** Returns the latest requests with their decisions. */
-    public Map<String, List<Note>> newest(int count) {
+    /** Returns the most recent requests with their decisions. */
+    public Map<String, List<Note>> latest(int count) {
         Map<String, List<Note>> out = new LinkedHashMap<>();
         int skip = Math.max(0, mNotes.size() - count);
         mNotes.entrySet().stream().skip(skip).forEach(e -> out.put(e.getKey(), e.getValue()));
--- a/forkseam-core/src/main/java/org/forkseam/core/util/Hashes.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/util/Hashes.java
@@ -7,18 +7,18 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Gives the hashes that all daemons must compute alike. */
+/** Computes the hashes that must be equal on all daemons. */
 public final class Hashes {
     private static final LongHashFunction XX = LongHashFunction.xx();
 
     private Hashes() {}
 
-    /** Returns the 64-bit hash of a text. */
+    /** Returns a 64-bit hash of a text. */
     public static long of(String text) {
         return XX.hashChars(text);
     }
 
-    /** Returns the 64-bit hash of bytes. */
+    /** Returns a 64-bit hash of a byte array. */
     public static long of(byte[] bytes) {
         return XX.hashBytes(bytes);
     }
@@ -30,18 +30,18 @@
         return h ^ (h >>> 31);
     }
 
-    /** Writes a hash as 16 hexadecimal digits. */
-    public static String text(long hash) {
+    /** Formats a hash as 16 hexadecimal digits. */
+    public static String toHex(long hash) {
         return HexFormat.of().toHexDigits(hash);
     }
 
-    /** Returns SHA-256 of a text in lower-case hexadecimal. */
+    /** Returns the SHA-256 digest of a text in lower-case hexadecimal. */
     public static String sha256(String text) {
         try {
             MessageDigest d = MessageDigest.getInstance("SHA-256");
             return HexFormat.of().formatHex(d.digest(text.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("required algorithm is not available: SHA-256", e);
         }
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/util/package-info.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/util/package-info.java
@@ -1,2 +1,2 @@
-/** The clock and the hashes. */
+/** Clocks, hashes, bounded maps and the decision log. */
 package org.forkseam.core.util;
--- a/forkseam-core/src/test/java/org/forkseam/core/cfg/ConfigLogTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/cfg/ConfigLogTest.java
@@ -15,7 +15,9 @@
 import java.util.Random;
 import java.util.Set;
 
-/** An accepted configuration never reverts, whatever reaches a daemon in whatever order. */
+/**
+ * Tests that an accepted configuration never reverts, whatever changes arrive in whatever order.
+ */
 class ConfigLogTest {
     private static List<ConfigChange> history(int length) {
         List<ConfigChange> out = new ArrayList<>();
@@ -35,7 +37,7 @@
     }
 
     @Property(tries = 300, seed = "11")
-    void versionsOnlyGrowAndAllConverge(
+    void versionsOnlyIncreaseAndConverge(
             @ForAll Random random, @ForAll @IntRange(min = 1, max = 90) int n) {
         List<ConfigChange> all = history(n);
         ConfigLog source = new ConfigLog();
@@ -44,7 +46,7 @@
         long last = 0;
         for (int i = 0; i < 200; i++) {
             if (random.nextInt(40) == 0) {
-                log = new ConfigLog(); // a restart, with nothing kept
+                log = new ConfigLog(); // restart without stored state
                 last = 0;
             }
             int from = random.nextInt(n);
@@ -52,26 +54,27 @@
                     new ArrayList<>(all.subList(from, from + random.nextInt(n - from) + 1));
             Collections.shuffle(some, random);
             log.apply(some);
-            assertThat(log.inForce().version()).isAtLeast(last);
-            last = log.inForce().version();
+            assertThat(log.current().version()).isAtLeast(last);
+            last = log.current().version();
         }
         ConfigLog known = log;
-        source.since(last).ifPresentOrElse(known::apply, () -> known.applyWhole(source.inForce()));
-        assertThat(known.inForce().hash()).isEqualTo(source.inForce().hash());
-        assertThat(known.inForce().sections()).isEqualTo(source.inForce().sections());
+        source.since(last)
+                .ifPresentOrElse(known::apply, () -> known.applySnapshot(source.current()));
+        assertThat(known.current().hash()).isEqualTo(source.current().hash());
+        assertThat(known.current().sections()).isEqualTo(source.current().sections());
     }
 
     @Test
-    void olderWholeConfigurationIsNotTaken() {
+    void olderSnapshotIsRejected() {
         ConfigLog log = new ConfigLog();
         log.apply(history(3));
         FleetConfig old = FleetConfig.empty().with(history(1).get(0)).orElseThrow();
-        assertThat(log.applyWhole(old)).isFalse();
-        assertThat(log.inForce().version()).isEqualTo(3);
+        assertThat(log.applySnapshot(old)).isFalse();
+        assertThat(log.current().version()).isEqualTo(3);
     }
 
     @Test
-    void changeOfAnotherHistoryIsNotTaken() {
+    void changeOfAnotherHistoryIsRejected() {
         ConfigLog log = new ConfigLog();
         log.apply(history(2));
         FleetConfig other = FleetConfig.empty().with(change(FleetConfig.empty(), "x", 7)).get();
@@ -80,7 +83,7 @@
     }
 
     @Test
-    void changeThatWasTamperedWithIsNotTaken() {
+    void tamperedChangeIsRejected() {
         ConfigChange c = history(1).get(0);
         ConfigChange bad =
                 new ConfigChange(
--- a/forkseam-core/src/test/java/org/forkseam/core/cfg/FindingsTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/cfg/FindingsTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Each fault of a declared configuration is found, with its place and what is allowed. */
+/** Tests that each error of a configuration is reported with its place and the allowed values. */
 class FindingsTest {
     @ParameterizedTest
     @CsvSource(
@@ -28,24 +28,24 @@
                 "plan x   | a                   | b            | [pool NAME]",
                 "pool     | a                   | b            | [pool NAME]"
             })
-    void faultIsFound(String section, String key, String value, String allowed) {
-        Map<String, Map<String, String>> s = new TreeMap<>();
-        s.put(section.trim(), Map.of(key.trim(), value.trim()));
-        FleetConfig c = FleetConfig.of(1, "", s);
-        assertThat(c.findings()).hasSize(1);
-        assertThat(c.findings().get(0).toString()).contains("[" + section.trim() + "]");
-        assertThat(c.findings().get(0).allowed()).contains(allowed);
+    void errorIsReported(String section, String key, String value, String allowed) {
+        Map<String, Map<String, String>> sections = new TreeMap<>();
+        sections.put(section.trim(), Map.of(key.trim(), value.trim()));
+        FleetConfig config = FleetConfig.of(1, "", sections);
+        assertThat(config.findings()).hasSize(1);
+        assertThat(config.findings().get(0).toString()).contains("[" + section.trim() + "]");
+        assertThat(config.findings().get(0).allowed()).contains(allowed);
     }
 
     @ParameterizedTest
     @CsvSource({"*,team=a", "team=a,team=a"})
-    void shadowedIntentIsFound(String first, String second) {
-        Map<String, Map<String, String>> s = new TreeMap<>();
-        s.put("pool p", Map.of());
-        s.put("intent a", Map.of("pool", "p", "selector", first));
-        s.put("intent b", Map.of("pool", "p", "selector", second));
-        FleetConfig c = FleetConfig.of(1, "", s);
-        assertThat(c.findings()).hasSize(1);
-        assertThat(c.findings().get(0).section()).isEqualTo("intent b");
+    void shadowedIntentIsReported(String first, String second) {
+        Map<String, Map<String, String>> sections = new TreeMap<>();
+        sections.put("pool p", Map.of());
+        sections.put("intent a", Map.of("pool", "p", "selector", first));
+        sections.put("intent b", Map.of("pool", "p", "selector", second));
+        FleetConfig config = FleetConfig.of(1, "", sections);
+        assertThat(config.findings()).hasSize(1);
+        assertThat(config.findings().get(0).section()).isEqualTo("intent b");
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/label/SelectorTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/label/SelectorTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Selectors choose by equality, set and existence, and their negations. */
+/** Tests matching and syntax errors of label selectors. */
 class SelectorTest {
     @ParameterizedTest
     @CsvSource(
@@ -31,13 +31,13 @@
                 "model=lm,!tier             | false"
             })
     void matches(String selector, boolean expected) {
-        Labels l = Labels.parse("model=lm,tier=gold");
-        assertThat(Selector.parse(selector).matches(l)).isEqualTo(expected);
+        Labels labels = Labels.parse("model=lm,tier=gold");
+        assertThat(Selector.parse(selector).matches(labels)).isEqualTo(expected);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a b", "a in b", "=x", "a=b c", "a,,b", "a in (b", "-a"})
-    void malformedIsRefused(String selector) {
+    void malformedSelectorIsRejected(String selector) {
         LabelSyntaxException e =
                 assertThrows(LabelSyntaxException.class, () -> Selector.parse(selector));
         assertThat(e).hasMessageThat().contains("allowed");
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
@@ -5,7 +5,7 @@
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 
-import org.forkseam.core.kernel.Kernel;
+import org.forkseam.core.kernel.ServiceManager;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
 import org.forkseam.daemon.admin.AdminApi;
@@ -61,7 +61,7 @@
     private final Settings mSettings;
     private final Clock mClock = Clock.system();
     private final Eventloop mLoop;
-    private final Kernel mKernel;
+    private final ServiceManager mKernel;
     private final PrometheusMeterRegistry mRegistry =
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final RandomGenerator mRandom;
@@ -82,7 +82,7 @@
         mRandom = random;
         mIncarnation = mClock.nowMillis();
         mLoop = Eventloop.builder().withThreadName("loop-" + host()).build();
-        mKernel = Kernel.of(settings.integer(SettingKey.STOP_MILLIS));
+        mKernel = ServiceManager.of(settings.integer(SettingKey.STOP_MILLIS));
         mHttp = Http.of(mLoop, Duration.ofMillis(settings.integer(SettingKey.PLATFORM_MILLIS)));
         mTable = HttpTableService.of(mHttp, settings.text(SettingKey.TABLE_SERVICE));
         mConfigStore =
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/AdminApi.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/AdminApi.java
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public List<String> needs() {
+    public List<String> dependencies() {
         return List.of(FleetSync.NAME);
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public List<String> needs() {
+    public List<String> dependencies() {
         return List.of(Links.NAME, FleetSync.NAME);
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
@@ -476,6 +476,6 @@
     }
 
     private void note(String what, String where) {
-        mContext.decisions().note(mRequest.id(), what, where);
+        mContext.decisions().add(mRequest.id(), what, where);
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public List<String> needs() {
+    public List<String> dependencies() {
         return List.of(Links.NAME, FleetSync.NAME);
     }
 
@@ -220,7 +220,7 @@
         m.put("leaving", mLeaving);
         m.put("requests", mCounters.requests());
         m.put("retry_budget", mContext.budget().tokens());
-        m.put("decisions", mContext.decisions().newest(50));
+        m.put("decisions", mContext.decisions().latest(50));
         return m;
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ConfigAuthor.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ConfigAuthor.java
@@ -94,7 +94,7 @@
                             ConfigLog log = new ConfigLog();
                             log.apply(
                                     changes.stream().filter(c -> c.version() <= version).toList());
-                            FleetConfig c = log.inForce();
+                            FleetConfig c = log.current();
                             return c.version() == version ? Optional.of(c) : Optional.empty();
                         });
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/Fleet.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/Fleet.java
@@ -45,7 +45,7 @@
 
     /** Returns the configuration in force. */
     public FleetConfig config() {
-        return mLog.inForce();
+        return mLog.current();
     }
 
     /** Returns the changes kept. */
@@ -77,13 +77,13 @@
 
     /** Puts a whole configuration in force if it is newer; returns whether it was. */
     public boolean onWhole(FleetConfig whole, long nowMillis) {
-        return inForce(mLog.applyWhole(whole), nowMillis);
+        return inForce(mLog.applySnapshot(whole), nowMillis);
     }
 
     private boolean inForce(boolean any, long nowMillis) {
         if (any) {
             mConfigAtMillis = nowMillis;
-            mView.onConfig(mLog.inForce());
+            mView.onConfig(mLog.current());
             changed();
         }
         return any;
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public List<String> needs() {
+    public List<String> dependencies() {
         return List.of(Links.NAME);
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public List<String> needs() {
+    public List<String> dependencies() {
         return List.of(Links.NAME, FleetSync.NAME);
     }
 
@@ -204,7 +204,7 @@
         m.put("answers_kept", mKeeper.size());
         m.put("answer_bytes_kept", mKeeper.bytes());
         m.put("counters", mCounters.dump());
-        m.put("decisions", mDecisions.newest(50));
+        m.put("decisions", mDecisions.latest(50));
         return m;
     }
 
@@ -433,7 +433,7 @@
     @Override
     public void onTurn(Exchange e) {
         if (!e.request().getUnrepeatable()) {
-            mDecisions.note(e.request().getRequestId(), "started", mConfig.target());
+            mDecisions.add(e.request().getRequestId(), "started", mConfig.target());
             e.run(mTarget, mClock.nowMillis());
             return;
         }
@@ -443,7 +443,7 @@
     @Override
     public void onRefused(Exchange e, Refused why) {
         mCounters.onRefused(why.reason());
-        mDecisions.note(e.request().getRequestId(), "refused " + why.reason(), mConfig.target());
+        mDecisions.add(e.request().getRequestId(), "refused " + why.reason(), mConfig.target());
         e.refuse(why);
     }
 
@@ -455,7 +455,7 @@
         if (ran) {
             mGate.release(Math.max(1, mClock.nowMillis() - e.startedMillis()));
             mCounters.onServed(e.usage());
-            mDecisions.note(e.request().getRequestId(), "ended " + e.state(), mConfig.target());
+            mDecisions.add(e.request().getRequestId(), "ended " + e.state(), mConfig.target());
         }
         if (ran) {
             mUnrepeatable.onEnded(e);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 
-import org.forkseam.core.kernel.Kernel;
+import org.forkseam.core.kernel.ServiceManager;
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.admin.AdminService;
 import org.forkseam.direct.admin.OperatorPages;
@@ -24,11 +24,11 @@
     /** Reads of the list of targets that fit into the time in which a leaving one is noticed. */
     private static final double READS_PER_LEAVE = 2.5;
 
-    private final Kernel mKernel;
+    private final ServiceManager mKernel;
     private final Knowledge mKnowledge;
     private final RouterService mRouter;
 
-    private DirectRouter(Kernel kernel, Knowledge knowledge, RouterService router) {
+    private DirectRouter(ServiceManager kernel, Knowledge knowledge, RouterService router) {
         mKernel = kernel;
         mKnowledge = knowledge;
         mRouter = router;
@@ -62,7 +62,7 @@
                         clock,
                         settings,
                         new RouterService.Parts(listener, knowledge, protocol, random));
-        Kernel kernel = Kernel.of(settings.bounds().stopMillis());
+        ServiceManager kernel = ServiceManager.of(settings.bounds().stopMillis());
         AdminService admin =
                 AdminService.of(
                         loop,
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/FlowRecord.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/FlowRecord.java
@@ -31,7 +31,7 @@
     FlowRecord(RouterContext context, CallerRequest request, long content) {
         mContext = context;
         mRequest = request;
-        mContent = Hashes.text(content);
+        mContent = Hashes.toHex(content);
     }
 
     private long now() {
@@ -39,7 +39,7 @@
     }
 
     private void note(String what, String where) {
-        mContext.decisions().note(mRequest.id(), what, where);
+        mContext.decisions().add(mRequest.id(), what, where);
     }
 
     void onChoice(Choice choice) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
@@ -151,7 +151,7 @@
     }
 
     @Override
-    public List<String> needs() {
+    public List<String> dependencies() {
         return List.of(Knowledge.NAME);
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ContentKey.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ContentKey.java
@@ -12,7 +12,7 @@
 record ContentKey(String prefix) {
     /** Returns the key of a content's row. */
     String of(long content) {
-        return prefix + Hashes.text(content);
+        return prefix + Hashes.toHex(content);
     }
 
     /** Returns whether a row is of this kind. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
@@ -107,7 +107,7 @@
                 .whenComplete(
                         (granted, e) ->
                                 Event.always("quarantine_trial")
-                                        .with("content", Hashes.text(content))
+                                        .with("content", Hashes.toHex(content))
                                         .with("granted", granted)
                                         .log());
     }
@@ -210,7 +210,7 @@
 
     private void onConvicted(long content, boolean sawIt) {
         Event.always("request_convicted")
-                .with("content", Hashes.text(content))
+                .with("content", Hashes.toHex(content))
                 .with("crashes", mSuspects.crashes(content))
                 .with("saw_last", sawIt)
                 .log();
@@ -225,7 +225,7 @@
     /** Serves a request again here, and has the row say so on all routers. */
     private void release(long content, boolean sawIt) {
         Event.always("request_acquitted")
-                .with("content", Hashes.text(content))
+                .with("content", Hashes.toHex(content))
                 .with("saw_answer", sawIt)
                 .log();
         mRows.releaseHere(content);
@@ -251,7 +251,7 @@
         mNews.removeIf(f -> f.content() == c.content() && !f.isAnswered()); // all read the row
         mSuspects.forget(c.content());
         Event.always("quarantine")
-                .with("content", Hashes.text(c.content()))
+                .with("content", Hashes.toHex(c.content()))
                 .with("term_ms", c.term().map(QuarantineTerm::termMillis).orElse(0L))
                 .log();
         if (mRows.term(c.content()).isPresent() && mSuspects.wasAnswered(c.content(), now())) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
@@ -87,7 +87,7 @@
     /** Returns the refused requests, and for how many milliseconds more. */
     Map<String, Long> dump(long storeMillis) {
         Map<String, Long> m = new TreeMap<>();
-        mKnown.forEach((c, r) -> m.put(Hashes.text(c), r.term().leftMillis(storeMillis)));
+        mKnown.forEach((c, r) -> m.put(Hashes.toHex(c), r.term().leftMillis(storeMillis)));
         return m;
     }
 
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/HttpConnectionTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/HttpConnectionTest.java
@@ -125,7 +125,7 @@
     }
 
     private static ConnectionPool pool(String address) {
-        return ConnectionPool.of(Connector.of(LOOP), Clock.steady(), address);
+        return ConnectionPool.of(Connector.of(LOOP), Clock.monotonic(), address);
     }
 
     @ParameterizedTest
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/FollowerBaseTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/FollowerBaseTest.java
@@ -20,7 +20,7 @@
             super(
                     new Surroundings(
                             null,
-                            Clock.steady(),
+                            Clock.monotonic(),
                             new SplittableRandom(5),
                             null,
                             null,
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
@@ -36,7 +36,7 @@
 class QuarantineTest {
     private static final long AWAIT_MILLIS = 5_000;
     private static final long CONTENT = 0x1234;
-    private static final String KEY = "quarantine/" + Hashes.text(CONTENT);
+    private static final String KEY = "quarantine/" + Hashes.toHex(CONTENT);
     private static final long TEN_MINUTES = 600_000;
     private static final int MAX_ROWS = 256;
 
@@ -275,7 +275,7 @@
         assertThat(mRows.mAll).isEmpty();
         mRouter.crash(CONTENT, 2);
         settle();
-        assertThat(mRows.mAll.keySet()).containsExactly("suspect/" + Hashes.text(CONTENT));
+        assertThat(mRows.mAll.keySet()).containsExactly("suspect/" + Hashes.toHex(CONTENT));
         onLoop(() -> cutOff.hear(STORE_AHEAD));
         assertThat(cutOff.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
         cutOff.crash(CONTENT, 3);
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
@@ -87,7 +87,7 @@
         FollowerBase.Surroundings around =
                 new FollowerBase.Surroundings(
                         mLoop,
-                        Clock.steady(),
+                        Clock.monotonic(),
                         random,
                         link,
                         new SourceWatch(() -> {}),
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
@@ -48,7 +48,7 @@
     private final MultiThreadIoEventLoopGroup mGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop mLoop = (EventLoop) mGroup.next();
-    private final Clock mClock = Clock.steady();
+    private final Clock mClock = Clock.monotonic();
     private final Source mSource = new Source();
     private TargetFollower mFollower;
     private volatile long mBackAt;
