--- a/forkseam-core/src/main/java/org/forkseam/core/route/CacheAwarePlacement.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/CacheAwarePlacement.java
@@ -126,7 +126,7 @@
             return mRequest.sharedTokens() * t.hitProbability(mNow - e.atMillis());
         }
 
-        private void add(TargetView t, double saved, Candidate.Reason why) {
+        private void add(TargetView t, double saved, Candidate.Reason reason) {
             double healthShare = mPanicMode ? 1 : t.health().share(mNow);
             if (t.isLeaving(mNow) || healthShare == 0) {
                 return;
@@ -135,22 +135,22 @@
                 Candidate c = mCandidates.get(i);
                 if (c.target() == t) {
                     if (saved > c.savedTokens()) {
-                        mCandidates.set(i, score(t, saved, healthShare, why));
+                        mCandidates.set(i, score(t, saved, healthShare, reason));
                     }
                     return;
                 }
             }
-            mCandidates.add(score(t, saved, healthShare, why));
+            mCandidates.add(score(t, saved, healthShare, reason));
         }
 
         private Candidate score(
-                TargetView t, double saved, double healthShare, Candidate.Reason why) {
+                TargetView t, double saved, double healthShare, Candidate.Reason reason) {
             int load = t.estimatedLoad(mNow);
             double mean = Math.max(1.0 / t.capacity(), mPool.meanPerCapacity(mNow));
             double excess = (load + 1.0) / t.capacity() / mean - 1;
             double cost = excess > 0 ? mLoadCost : mLoadCost * BELOW_MEAN_FACTOR;
             double score = saved - cost * excess - HEALTH_COST * (1 - healthShare);
-            return new Candidate(t, score, saved, load, mPool.limit(t, mNow), why);
+            return new Candidate(t, score, saved, load, mPool.limit(t, mNow), reason);
         }
 
         List<Candidate> sorted() {
--- a/forkseam-core/src/test/java/org/forkseam/core/route/PoolSimulation.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/PoolSimulation.java
@@ -91,11 +91,11 @@
         private final Distribution mDistribution;
         private final List<RequestClass> mClasses;
 
-        Fleet(int places, int tokensAnEvent, Distribution shape, RequestClass... kinds) {
-            mSlots = places;
-            mTokensPerEvent = tokensAnEvent;
-            mDistribution = shape;
-            mClasses = List.of(kinds);
+        Fleet(int slots, int tokensPerEvent, Distribution distribution, RequestClass... classes) {
+            mSlots = slots;
+            mTokensPerEvent = tokensPerEvent;
+            mDistribution = distribution;
+            mClasses = List.of(classes);
         }
     }
 
@@ -211,8 +211,8 @@
     }
 
     private Target target(String id) {
-        int places = mSetup.fleet().mSlots;
-        return Target.of(new TargetEntry(id, "pool", "10.0.0.1:1", "a", places, false, 0));
+        int slots = mSetup.fleet().mSlots;
+        return Target.of(new TargetEntry(id, "pool", "10.0.0.1:1", "a", slots, false, 0));
     }
 
     /**
