--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
@@ -7,10 +7,10 @@
 import org.forkseam.core.kernel.Service;
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetStart;
+import org.forkseam.core.route.BoundedLoadPicker;
 import org.forkseam.core.route.CandidateFilter;
-import org.forkseam.core.route.HomePicker;
-import org.forkseam.core.route.HomeRegions;
 import org.forkseam.core.route.LeastLoadedPicker;
+import org.forkseam.core.route.RegionFilter;
 import org.forkseam.core.route.TargetPicker;
 import org.forkseam.core.traffic.CallerLimits;
 import org.forkseam.core.util.Clock;
@@ -92,7 +92,7 @@
                                         CandidateFilter.of(p.random()),
                                         homePicker(mBounds),
                                         LeastLoadedPicker.of(p.random()),
-                                        HomeRegions.of(settings.regions())),
+                                        RegionFilter.of(settings.regions())),
                                 ColdGate.of(p.knowledge()::shareFor, mBounds.coldOvershoot()),
                                 new RetryBudgets(retryBounds(mBounds), this::routerCount),
                                 new ResponseFactory(p.headerCodec(), p.random()),
@@ -125,7 +125,7 @@
     }
 
     private static TargetPicker homePicker(RouterSettings.Bounds b) {
-        return HomePicker.of(b.maxLoadRatio() * HOME_LOAD_FACTOR, HOME_EXTRA_REQUESTS);
+        return BoundedLoadPicker.of(b.maxLoadRatio() * HOME_LOAD_FACTOR, HOME_EXTRA_REQUESTS);
     }
 
     private static RetryBudgets.Bounds retryBounds(RouterSettings.Bounds b) {
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public List<String> needs() {
+    public List<String> dependencies() {
         return List.of(Knowledge.NAME);
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
@@ -81,7 +81,7 @@
     /** Returns the refused requests with their remaining time in milliseconds. */
     Map<String, Long> dump(long storeMillis) {
         Map<String, Long> m = new TreeMap<>();
-        mCache.forEach((c, r) -> m.put(Hashes.text(c), r.term().leftMillis(storeMillis)));
+        mCache.forEach((c, r) -> m.put(Hashes.toHex(c), r.term().leftMillis(storeMillis)));
         return m;
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetObservations.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetObservations.java
@@ -3,11 +3,11 @@
 import org.forkseam.core.crash.CrashFact;
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
-import org.forkseam.core.route.HolderMemory;
-import org.forkseam.core.share.FactExchange;
-import org.forkseam.core.share.HolderFact;
-import org.forkseam.core.share.LoadExchange;
+import org.forkseam.core.route.PromptHolderIndex;
+import org.forkseam.core.share.GossipQueue;
+import org.forkseam.core.share.LoadGossip;
 import org.forkseam.core.share.LoadReading;
+import org.forkseam.core.share.PromptHolder;
 import org.forkseam.core.util.Clock;
 
 import java.util.List;
@@ -20,9 +20,9 @@
 final class TargetObservations {
     private final Clock mClock;
     private final TargetDirectory mTargets;
-    private final HolderMemory mHolders = HolderMemory.create();
-    private final FactExchange<HolderFact> mHolderExchange =
-            FactExchange.of(HolderFact.MAX_FACTS, f -> 0);
+    private final PromptHolderIndex mHolders = PromptHolderIndex.create();
+    private final GossipQueue<PromptHolder> mHolderExchange =
+            GossipQueue.of(PromptHolder.MAX_PER_MESSAGE, f -> 0);
     private final Quarantine mQuarantine;
     private final TargetSignals mSignals;
 
@@ -34,7 +34,7 @@
         mSignals = signals;
     }
 
-    HolderMemory holders() {
+    PromptHolderIndex holders() {
         return mHolders;
     }
 
@@ -46,14 +46,14 @@
     void onAnswered(long key, Target t, boolean known) {
         boolean isNew = mHolders.onAnswered(key, t.start(), mClock.nowMillis());
         if (isNew && !known) {
-            mHolderExchange.add(new HolderFact(key, t.shortHash()));
+            mHolderExchange.add(new PromptHolder(key, t.shortHash()));
         }
     }
 
     /** Returns the observations to send to another router; empty if there are none. */
     Optional<PeerMessage> digest() {
-        List<LoadReading> loads = LoadExchange.digest(mTargets.all(), mClock.nowMillis());
-        List<HolderFact> holders = mHolderExchange.digest();
+        List<LoadReading> loads = LoadGossip.newestReadings(mTargets.all(), mClock.nowMillis());
+        List<PromptHolder> holders = mHolderExchange.nextBatch();
         List<CrashFact> crashes = mQuarantine.digest();
         List<Integer> leaving = mSignals.digest();
         return loads.isEmpty() && holders.isEmpty() && crashes.isEmpty() && leaving.isEmpty()
@@ -63,15 +63,15 @@
 
     /** Applies another router's observations. */
     void apply(PeerMessage.Observations o) {
-        LoadExchange.take(o.loads(), mTargets::findByShortHash, mClock.nowMillis());
-        for (HolderFact f : o.holders()) {
+        LoadGossip.apply(o.loads(), mTargets::findByShortHash, mClock.nowMillis());
+        for (PromptHolder f : o.holders()) {
             mTargets.findByShortHash(f.target()).ifPresent(t -> applyHolder(f, t));
         }
         mQuarantine.apply(o.crashes());
         mSignals.apply(o.leaving());
     }
 
-    private void applyHolder(HolderFact f, Target t) {
+    private void applyHolder(PromptHolder f, Target t) {
         if (mHolders.onAnswered(f.key(), t.start(), mClock.nowMillis())) {
             mHolderExchange.add(f);
         }
