--- a/forkseam-core/src/main/java/org/forkseam/core/route/HolderMemory.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/PromptHolderIndex.java
@@ -10,80 +10,82 @@
 import java.util.Optional;
 
 /**
- * Remembers which targets have answered a key, by this router's word or another's, so that a target
- * without the key's prompt in its memory can copy it from one that has it: a copy costs a small
- * part of a reread. Keys are known by their hashes.
+ * Tracks which targets are likely to have a key's prompt in their cache.
  *
- * <p>Used on one thread.
+ * <p>A target without the prompt can then copy the cache entry from one that has it, which costs a
+ * fraction of prefilling it. Entries come from this router's answers and from other routers. Keys
+ * are stored as hashes. Not thread-safe.
  *
  * @since 0.2
  */
-public final class HolderMemory {
-    /** Keys remembered; each costs some 200 bytes. */
+public final class PromptHolderIndex {
+    /** Each key takes about 200 bytes. */
     private static final int MAX_KEYS = 8_192;
 
-    /** Targets remembered for a key. */
     private static final int MAX_HOLDERS = 4;
 
-    /** After so long a prompt may have given way to others. Origin: the pools' memory and rates. */
-    private static final long KEPT_MILLIS = 60_000;
+    /** Time after which the prompt may have been evicted from a target's cache. */
+    private static final long HOLDER_TTL_MILLIS = 60_000;
 
-    private final Map<Long, BoundedMap<TargetIncarnation, Long>> mByKey =
+    private final Map<Long, BoundedMap<TargetIncarnation, Long>> mHoldersByKey =
             BoundedMap.byAccess(MAX_KEYS);
 
-    private HolderMemory() {}
+    private PromptHolderIndex() {}
 
-    /** Creates a memory that knows nothing. */
-    public static HolderMemory create() {
-        return new HolderMemory();
+    /** Creates an empty index. */
+    public static PromptHolderIndex create() {
+        return new PromptHolderIndex();
     }
 
     /**
-     * Notes that a target has answered a request with a key, and returns whether that was not known
-     * before.
+     * Records that a target answered a request with a key. Returns whether the entry is new or had
+     * expired.
      */
     public boolean onAnswered(long key, TargetIncarnation target, long nowMillis) {
         BoundedMap<TargetIncarnation, Long> holders =
-                mByKey.computeIfAbsent(key, k -> BoundedMap.byAccess(MAX_HOLDERS));
-        Long before = holders.put(target, nowMillis);
-        return before == null || nowMillis - before >= KEPT_MILLIS;
+                mHoldersByKey.computeIfAbsent(key, k -> BoundedMap.byAccess(MAX_HOLDERS));
+        Long previous = holders.put(target, nowMillis);
+        return previous == null || nowMillis - previous >= HOLDER_TTL_MILLIS;
     }
 
     /**
-     * Returns the target to copy a prompt from, or empty if the target chosen is likely to have it.
+     * Returns the target from which to copy a prompt, or empty if the chosen target is likely to
+     * have it.
      *
-     * @param likely ids of targets that are likely to have it, the likeliest first
+     * @param likely ids of targets that are likely to have the prompt, most likely first
      */
-    public Optional<Target> source(
+    public Optional<Target> copySource(
             long key,
             Target chosen,
             List<String> likely,
             TargetDirectory directory,
             long nowMillis) {
-        BoundedMap<TargetIncarnation, Long> holders = mByKey.get(key);
+        BoundedMap<TargetIncarnation, Long> holders = mHoldersByKey.get(key);
         if (holders != null) {
             Long at = holders.get(chosen.incarnation());
-            if (at != null && nowMillis - at < KEPT_MILLIS) {
+            if (at != null && nowMillis - at < HOLDER_TTL_MILLIS) {
                 return Optional.empty();
             }
-            Optional<Target> known = newest(holders, chosen, directory, nowMillis);
-            if (known.isPresent()) {
-                return known;
+            Optional<Target> newest = newestHolder(holders, chosen, directory, nowMillis);
+            if (newest.isPresent()) {
+                return newest;
             }
         }
         return firstReachable(likely, chosen, directory, nowMillis);
     }
 
-    private static Optional<Target> newest(
+    private static Optional<Target> newestHolder(
             Map<TargetIncarnation, Long> holders,
             Target chosen,
             TargetDirectory directory,
             long nowMillis) {
         Target best = null;
-        long bestAt = nowMillis - KEPT_MILLIS;
+        long bestAt = nowMillis - HOLDER_TTL_MILLIS;
         for (Map.Entry<TargetIncarnation, Long> h : holders.entrySet()) {
             Optional<Target> t = directory.findReachable(h.getKey(), nowMillis);
-            if (h.getValue() > bestAt && t.isPresent() && isGood(t.get(), chosen, nowMillis)) {
+            if (h.getValue() > bestAt
+                    && t.isPresent()
+                    && isUsableSource(t.get(), chosen, nowMillis)) {
                 best = t.get();
                 bestAt = h.getValue();
             }
@@ -98,15 +100,15 @@
                 return Optional.empty();
             }
             Optional<Target> t = directory.findReachable(id, nowMillis);
-            if (t.isPresent() && isGood(t.get(), chosen, nowMillis)) {
+            if (t.isPresent() && isUsableSource(t.get(), chosen, nowMillis)) {
                 return t;
             }
         }
         return Optional.empty();
     }
 
-    private static boolean isGood(Target t, Target chosen, long nowMillis) {
-        // One that is coming back after failures still has what it read before.
+    private static boolean isUsableSource(Target t, Target chosen, long nowMillis) {
+        // A target that is recovering from failures still has its cache.
         return t != chosen && t.health().trafficShare(nowMillis) > 0 && !t.isSilent(nowMillis);
     }
 }
--- a/forkseam-core/src/test/java/org/forkseam/core/crash/CrashEventGossipTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/crash/CrashEventGossipTest.java
@@ -2,8 +2,8 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import org.forkseam.core.share.FactExchange;
-import org.forkseam.core.share.LoadExchange;
+import org.forkseam.core.share.GossipQueue;
+import org.forkseam.core.share.LoadGossip;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -24,8 +24,8 @@
     /** Router that records and forwards events. */
     private static final class Router {
         private final PoisonRequestDetector mDetector = PoisonRequestDetector.create();
-        private final FactExchange<CrashEvent> mExchange =
-                FactExchange.of(CrashEvent.MAX_PER_MESSAGE, f -> mDetector.crashCount(f.content()));
+        private final GossipQueue<CrashEvent> mExchange =
+                GossipQueue.of(CrashEvent.MAX_PER_MESSAGE, f -> mDetector.crashCount(f.content()));
 
         void onEvent(CrashEvent f, long now) {
             if (mDetector.onEvent(f, now)) {
@@ -58,7 +58,7 @@
         mDelayed = new ArrayList<>();
         due.forEach(l -> l.events().forEach(f -> l.to().onEvent(f, now)));
         for (Router r : mRouters) {
-            List<CrashEvent> events = r.mExchange.digest();
+            List<CrashEvent> events = r.mExchange.nextBatch();
             mMaxEvents = Math.max(mMaxEvents, events.size());
             deliver(otherThan(r), events, now);
         }
@@ -103,7 +103,7 @@
             mRouters.replaceAll(r -> new Router());
             mDelayed.clear();
             long third = 2 * CRASH_INTERVAL_MILLIS;
-            for (long now = 0; now <= third + withinMillis; now += LoadExchange.PERIOD_MILLIS) {
+            for (long now = 0; now <= third + withinMillis; now += LoadGossip.PERIOD_MILLIS) {
                 if (now <= third && now % CRASH_INTERVAL_MILLIS == 0) {
                     crash((int) (now / CRASH_INTERVAL_MILLIS) + 1, now);
                 }
@@ -139,7 +139,7 @@
                 }
             }
             any().onEvent(CrashEvent.answered(CAUSE), 0);
-            for (long now = 0; now <= 3_000; now += LoadExchange.PERIOD_MILLIS) {
+            for (long now = 0; now <= 3_000; now += LoadGossip.PERIOD_MILLIS) {
                 round(now);
             }
             cleared += mRouters.stream().filter(r -> !r.mDetector.isPoison(CAUSE)).count();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/StoreMeters.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/StoreMeters.java
@@ -9,8 +9,8 @@
 import org.forkseam.direct.know.TargetSignals;
 
 /**
- * Counts what a router asks of the store and learns from it. Calls are counted by kind, as each has
- * its price; kinds that are first made after the registry is bound stand in the state dump only.
+ * Meters for the store and the state read from it. Store calls are counted by kind; kinds first
+ * used after the registry is bound appear only in the state dump. Used on the event loop.
  */
 final class StoreMeters implements MeterBinder {
     private final Knowledge mKnowledge;
@@ -26,7 +26,7 @@
     @Override
     public void bindTo(MeterRegistry registry) {
         for (String kind : mKnowledge.storeCalls().keySet()) {
-            FunctionCounter.builder("forkseam.store.calls", mKnowledge, k -> calls(k, kind))
+            FunctionCounter.builder("forkseam.store.calls", mKnowledge, k -> callCount(k, kind))
                     .tag("kind", kind)
                     .register(registry);
         }
@@ -49,18 +49,18 @@
         Gauge.builder("forkseam.entries.unusable", mKnowledge, Knowledge::unusableEntries)
                 .description("rows among the targets' that name none")
                 .register(registry);
-        for (TargetSignals.Signal word : TargetSignals.Signal.values()) {
+        for (TargetSignals.Signal signal : TargetSignals.Signal.values()) {
             FunctionCounter.builder(
-                            "forkseam.target.words", mKnowledge, k -> k.signals().received(word))
+                            "forkseam.target.words", mKnowledge, k -> k.signals().received(signal))
                     .description("what targets said of themselves, by way")
-                    .tag("word", TargetSignals.name(word))
+                    .tag("word", TargetSignals.name(signal))
                     .register(registry);
         }
         Gauge.builder("forkseam.evacuations", mKnowledge, k -> k.evacuated().size())
                 .register(registry);
     }
 
-    private static double calls(Knowledge k, String kind) {
+    private static double callCount(Knowledge k, String kind) {
         return k.storeCalls().getOrDefault(kind, 0L);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Targets.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetConnections.java
@@ -12,42 +12,42 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Keeps the connections to targets, a pool for each start of a target. */
-final class Targets {
-    /** Share of a target's connections that all routers together use. */
+/** Connection pools by target instance. Used on the event loop. */
+final class TargetConnections {
+    /** Share of a target's connection limit that all routers together use. */
     private static final double USED_SHARE = 0.9;
 
-    /** Idle connections are kept no longer than this. Origin: measured rounds. */
+    /** Maximum idle time of a connection. */
     private static final long MAX_IDLE_MILLIS = 10_000;
 
     private final Connector mConnector;
     private final Clock mClock;
     private final Map<TargetIncarnation, ConnectionPool> mPools = new HashMap<>();
 
-    Targets(Connector connector, Clock clock) {
+    TargetConnections(Connector connector, Clock clock) {
         mConnector = connector;
         mClock = clock;
     }
 
-    /** Returns the connections to a target. */
+    /** Returns the connection pool of a target. */
     ConnectionPool pool(Target t) {
         return mPools.computeIfAbsent(
                 t.incarnation(), s -> ConnectionPool.of(mConnector, mClock, t.entry().address()));
     }
 
-    /** Sets each target's limit to this router's share of what the target takes. */
-    void limit(Target t, Optional<Pool> pool, int routers) {
-        int all = pool.map(Pool::maxConnections).orElse(0);
-        if (all > 0) {
-            pool(t).setLimit(Math.max(2, (int) (USED_SHARE * all / Math.max(1, routers))));
+    /** Limits the connections to a target to this router's share of the target's limit. */
+    void setLimit(Target t, Optional<Pool> pool, int routers) {
+        int max = pool.map(Pool::maxConnections).orElse(0);
+        if (max > 0) {
+            pool(t).setLimit(Math.max(2, (int) (USED_SHARE * max / Math.max(1, routers))));
         }
     }
 
     /**
-     * Closes connections that are idle for long, all idle ones to targets that leave, and those to
-     * targets that are not known.
+     * Closes connections that were idle for too long, all idle connections to leaving targets, and
+     * all idle connections to unknown targets.
      */
-    void tidy(Map<TargetIncarnation, Target> known) {
+    void closeUnused(Map<TargetIncarnation, Target> known) {
         Iterator<Map.Entry<TargetIncarnation, ConnectionPool>> i = mPools.entrySet().iterator();
         while (i.hasNext()) {
             Map.Entry<TargetIncarnation, ConnectionPool> e = i.next();
@@ -61,11 +61,11 @@
         }
     }
 
-    int open() {
-        return mPools.values().stream().mapToInt(ConnectionPool::open).sum();
+    int openCount() {
+        return mPools.values().stream().mapToInt(ConnectionPool::openCount).sum();
     }
 
-    long opened() {
-        return mConnector.opened();
+    long openedCount() {
+        return mConnector.openedCount();
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/ConnectionPool.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/ConnectionPool.java
@@ -7,8 +7,8 @@
 import java.util.Iterator;
 
 /**
- * Keeps the connections to one address. The one used last is used next, so that few stay warm. Used
- * on the event loop.
+ * Pool of connections to one address. The most recently used connection is reused first. Used on
+ * the event loop.
  *
  * @since 0.2
  */
@@ -18,7 +18,7 @@
     private final String mAddress;
     private final Deque<HttpConnection> mIdle = new ArrayDeque<>();
     private int mLimit = Integer.MAX_VALUE;
-    private int mOpen;
+    private int mOpenCount;
     private boolean mClosed;
 
     private ConnectionPool(Connector connector, Clock clock, String address) {
@@ -27,55 +27,57 @@
         mAddress = address;
     }
 
-    /** Creates a pool without a connection. */
+    /** Creates an empty pool. */
     public static ConnectionPool of(Connector connector, Clock clock, String address) {
         return new ConnectionPool(connector, clock, address);
     }
 
-    /** Sets the most connections it may hold. */
+    /** Sets the maximum number of connections. */
     public void setLimit(int limit) {
         mLimit = limit;
     }
 
-    /** Returns the connections open or coming up. */
-    public int open() {
-        return mOpen;
+    /** Returns the number of open and connecting connections. */
+    public int openCount() {
+        return mOpenCount;
     }
 
     /**
-     * Brings a connection.
+     * Acquires an idle connection, or opens one.
      *
-     * @param maxIdleMillis one that has been idle for longer is not used
+     * @param maxIdleMillis connections that were idle for longer are closed instead
      */
-    public void acquire(long maxIdleMillis, ConnectionUser user) {
+    public void acquire(long maxIdleMillis, ConnectionCallback callback) {
         long now = mClock.nowMillis();
         while (!mIdle.isEmpty()) {
             HttpConnection c = mIdle.pollFirst();
-            if (c.isUsable() && c.idleMillis(now) < Math.min(maxIdleMillis, c.keepMillis())) {
-                user.onConnection(c);
+            if (c.isUsable() && c.idleMillis(now) < Math.min(maxIdleMillis, c.maxIdleMillis())) {
+                callback.onConnection(c);
                 return;
             }
             c.close();
         }
-        if (mOpen >= mLimit) {
-            user.onNone(BreakKind.NO_CONNECTION_FREE, mOpen + " connections open");
+        if (mOpenCount >= mLimit) {
+            callback.onConnectionFailed(
+                    ExchangeFailure.NO_CONNECTION_FREE,
+                    mOpenCount + " connections open, limit reached");
             return;
         }
-        replace(user);
+        openReplacement(callback);
     }
 
     /**
-     * Brings a connection that is opened anew in the place of one that has just broken, which may
-     * still count as open: whatever idle ones and whatever limit there are.
+     * Opens a connection regardless of idle connections and the limit, to replace a broken one that
+     * may still count as open.
      */
-    public void replace(ConnectionUser user) {
-        mOpen++;
+    public void openReplacement(ConnectionCallback callback) {
+        mOpenCount++;
         HttpConnection c = new HttpConnection(this);
-        mConnector.connect(mAddress, c, user, this::onFailed);
+        mConnector.connect(mAddress, c, callback, this::onConnectFailed);
     }
 
-    private void onFailed() {
-        mOpen--;
+    private void onConnectFailed() {
+        mOpenCount--;
     }
 
     void release(HttpConnection c, boolean reusable) {
@@ -88,17 +90,20 @@
     }
 
     void onClosed(HttpConnection c) {
-        mOpen--;
+        mOpenCount--;
         mIdle.remove(c);
     }
 
-    /** Closes connections that have been idle for longer than their server keeps them. */
+    /**
+     * Closes connections that were idle for longer than {@code maxIdleMillis} or the server's
+     * keep-alive time.
+     */
     public void closeIdle(long maxIdleMillis) {
         long now = mClock.nowMillis();
         Iterator<HttpConnection> i = mIdle.descendingIterator();
         while (i.hasNext()) {
             HttpConnection c = i.next();
-            if (c.idleMillis(now) >= Math.min(maxIdleMillis, c.keepMillis())) {
+            if (c.idleMillis(now) >= Math.min(maxIdleMillis, c.maxIdleMillis())) {
                 i.remove();
                 c.close();
             }
@@ -106,14 +111,14 @@
     }
 
     /**
-     * Closes the connections that have been idle since a moment: one that was used then has gone
-     * silent, and whatever cut it off without a word is likely to have cut those off too.
+     * Closes the connections that have been idle since the given time. Called when another
+     * connection used then has become silent, as the same network fault may affect them.
      */
-    public void closeIdleSince(long millis) {
-        closeIdle(mClock.nowMillis() - millis);
+    public void closeIdleSince(long sinceMillis) {
+        closeIdle(mClock.nowMillis() - sinceMillis);
     }
 
-    /** Closes all idle connections; those in use are closed when given back. */
+    /** Closes all idle connections; active ones are closed on release. */
     public void close() {
         mClosed = true;
         while (!mIdle.isEmpty()) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/Connector.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/Connector.java
@@ -13,18 +13,18 @@
 import java.net.ConnectException;
 
 /**
- * Opens connections to HTTP servers by IP number.
+ * Opens connections to HTTP servers by IP address. Used on the event loop.
  *
  * @since 0.2
  */
 public final class Connector {
-    /** Hosts are a few milliseconds apart, so a longer wait means a dead host or a lost packet. */
-    public static final int CONNECT_MILLIS = 300;
+    /** Connect timeout; hosts are a few milliseconds apart. */
+    public static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     private static final int MAX_HEADER_BYTES = 32_768;
 
     private final Bootstrap mBootstrap;
-    private long mOpened;
+    private long mOpenedCount;
 
     private Connector(EventLoopGroup group) {
         mBootstrap =
@@ -33,7 +33,7 @@
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(ChannelOption.ALLOCATOR, Buffers.allocator())
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
     }
 
     /** Creates a connector. */
@@ -41,12 +41,12 @@
         return new Connector(group);
     }
 
-    /** Returns the connections that came up since the start. */
-    public long opened() {
-        return mOpened;
+    /** Returns the number of connections opened since the start. */
+    public long openedCount() {
+        return mOpenedCount;
     }
 
-    void connect(String address, HttpConnection c, ConnectionUser user, Runnable failed) {
+    void connect(String address, HttpConnection c, ConnectionCallback callback, Runnable onFailed) {
         Bootstrap b = mBootstrap.clone();
         b.handler(
                 new ChannelInitializer<Channel>() {
@@ -59,19 +59,20 @@
                 .addListener(
                         f -> {
                             if (f.isSuccess()) {
-                                mOpened++;
-                                user.onConnection(c);
+                                mOpenedCount++;
+                                callback.onConnection(c);
                             } else {
-                                failed.run();
-                                user.onNone(kindOf(f.cause()), String.valueOf(f.cause()));
+                                onFailed.run();
+                                callback.onConnectionFailed(
+                                        failureOf(f.cause()), String.valueOf(f.cause()));
                             }
                         });
     }
 
-    private static BreakKind kindOf(Throwable cause) {
+    private static ExchangeFailure failureOf(Throwable cause) {
         boolean refused =
                 cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
-        return refused ? BreakKind.NOBODY_LISTENS : BreakKind.UNREACHABLE;
+        return refused ? ExchangeFailure.NOBODY_LISTENS : ExchangeFailure.UNREACHABLE;
     }
 
     private static HttpClientCodec codec() {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/HttpCalls.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/SimpleHttpClient.java
@@ -20,59 +20,63 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes small calls to one HTTP server and brings whole replies.
+ * Client for small requests to one HTTP server with buffered responses. Used on the event loop.
  *
- * <p>A call that runs out of time fails and takes its connection with it. Used on the event loop.
+ * <p>A call that times out fails and closes its connection.
  *
  * @since 0.2
  */
-public final class HttpCalls {
-    /** An idle connection older than this may have been forgotten by the other side. */
+public final class SimpleHttpClient {
+    /** Older idle connections may have been closed by the server. */
     private static final long MAX_IDLE_MILLIS = 4_000;
 
     private final EventLoop mLoop;
     private final ConnectionPool mPool;
     private final String mAddress;
-    private long mMade;
-    private long mBytes;
+    private long mCallCount;
+    private long mBytesRead;
 
-    private HttpCalls(EventLoop loop, Connector connector, Clock clock, String address) {
+    private SimpleHttpClient(EventLoop loop, Connector connector, Clock clock, String address) {
         mLoop = loop;
         mPool = ConnectionPool.of(connector, clock, address);
         mAddress = address;
     }
 
-    /** Creates a client of one address. */
-    public static HttpCalls of(EventLoop loop, Connector connector, Clock clock, String address) {
-        return new HttpCalls(loop, connector, clock, address);
+    /** Creates a client for one address. */
+    public static SimpleHttpClient of(
+            EventLoop loop, Connector connector, Clock clock, String address) {
+        return new SimpleHttpClient(loop, connector, clock, address);
     }
 
     /**
-     * Holds a reply.
+     * A complete response.
      *
      * @param status the status code
      * @param headers the header fields
-     * @param body the whole body
+     * @param body the body
      */
-    public record Reply(int status, HttpHeaders headers, byte[] body) {
-        /** Returns a reply with another status. */
-        public Reply withStatus(int other) {
-            return new Reply(other, headers, body);
+    public record Response(int status, HttpHeaders headers, byte[] body) {
+        /** Returns this response with another status. */
+        public Response withStatus(int newStatus) {
+            return new Response(newStatus, headers, body);
         }
     }
 
-    /** Makes a call; the future fails with an {@link IOException} when no whole reply came. */
-    public CompletableFuture<Reply> call(
+    /**
+     * Sends a request. The future fails with an {@link IOException} if no complete response
+     * arrives.
+     */
+    public CompletableFuture<Response> call(
             HttpMethod method, String uri, byte[] body, long timeoutMillis) {
-        mMade++;
+        mCallCount++;
         Call call = new Call(request(method, uri, body));
         call.mTimer =
                 mLoop.schedule(
-                        () -> call.fail("no reply in " + timeoutMillis + " ms"),
+                        () -> call.fail("no complete response within " + timeoutMillis + " ms"),
                         timeoutMillis,
                         TimeUnit.MILLISECONDS);
         mPool.acquire(MAX_IDLE_MILLIS, call);
-        return call.mReply;
+        return call.mResponse;
     }
 
     private FullHttpRequest request(HttpMethod method, String uri, byte[] body) {
@@ -87,14 +91,14 @@
         return r;
     }
 
-    /** Returns the calls made since the start. */
-    public long made() {
-        return mMade;
+    /** Returns the number of calls since the start. */
+    public long callCount() {
+        return mCallCount;
     }
 
-    /** Returns the bytes of replies read since the start. */
-    public long bytes() {
-        return mBytes;
+    /** Returns the number of body bytes received since the start. */
+    public long bytesRead() {
+        return mBytesRead;
     }
 
     /** Closes idle connections. */
@@ -102,10 +106,10 @@
         mPool.close();
     }
 
-    /** Is one call under way. */
-    private final class Call implements ConnectionUser, AnswerListener {
+    /** An active call. */
+    private final class Call implements ConnectionCallback, ResponseListener {
         private final FullHttpRequest mRequest;
-        private final CompletableFuture<Reply> mReply = new CompletableFuture<>();
+        private final CompletableFuture<Response> mResponse = new CompletableFuture<>();
         private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
         private java.util.concurrent.Future<?> mTimer;
         private HttpConnection mConnection;
@@ -117,8 +121,8 @@
 
         @Override
         public void onConnection(HttpConnection c) {
-            if (mReply.isDone()) {
-                c.giveBack();
+            if (mResponse.isDone()) {
+                c.release();
                 return;
             }
             mConnection = c;
@@ -126,8 +130,8 @@
         }
 
         @Override
-        public void onNone(BreakKind kind, String detail) {
-            fail(kind + " " + detail);
+        public void onConnectionFailed(ExchangeFailure failure, String detail) {
+            fail(failure + " " + detail);
         }
 
         @Override
@@ -137,32 +141,33 @@
 
         @Override
         public void onBody(ByteBuf bytes) {
-            mBytes += bytes.readableBytes();
+            mBytesRead += bytes.readableBytes();
             byte[] b = ByteBufUtil.getBytes(bytes);
             mBody.write(b, 0, b.length);
         }
 
         @Override
-        public void onEnd() {
+        public void onComplete() {
             mTimer.cancel(false);
-            mReply.complete(new Reply(mHead.status().code(), mHead.headers(), mBody.toByteArray()));
+            mResponse.complete(
+                    new Response(mHead.status().code(), mHead.headers(), mBody.toByteArray()));
         }
 
         @Override
-        public void onBroken(BreakKind kind, String detail) {
+        public void onExchangeFailed(ExchangeFailure failure, String detail) {
             mConnection = null;
-            fail(kind + " " + detail);
+            fail(failure + " " + detail);
         }
 
-        private void fail(String why) {
-            if (mReply.isDone()) {
+        private void fail(String message) {
+            if (mResponse.isDone()) {
                 return;
             }
             mTimer.cancel(false);
             if (mConnection != null) {
-                mConnection.abandon();
+                mConnection.abort();
             }
-            mReply.completeExceptionally(new IOException(mAddress + ": " + why));
+            mResponse.completeExceptionally(new IOException(mAddress + ": " + message));
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
@@ -1,6 +1,6 @@
 package org.forkseam.direct.know;
 
-import org.forkseam.core.share.ReaderRole;
+import org.forkseam.core.share.StoreReaderRole;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.direct.log.Event;
@@ -35,7 +35,7 @@
 
     private final SharedRows mRows;
     private final Consumer<SharedRow> mListener;
-    private final ReaderRole mRole = ReaderRole.of(READER_TIMEOUT_MILLIS);
+    private final StoreReaderRole mRole = StoreReaderRole.of(READER_TIMEOUT_MILLIS);
     private final RowTable mTable = new RowTable();
     private final RowRestorer mRestorer;
     private StorePosition mPosition = StorePosition.NONE;
@@ -173,7 +173,7 @@
         if (isStopped()) {
             return;
         }
-        long quiet = mRole.quietMillis(now());
+        long quiet = mRole.standbyMillis(now());
         if (quiet > 0) {
             schedule(quiet + jitterMillis(), this::follow);
             return;
@@ -188,7 +188,7 @@
         boolean otherHistory =
                 failure == null
                         ? !read.position().isSameEraAs(since)
-                        : SourceException.isHistoryGone(failure);
+                        : SourceException.isHistoryCompacted(failure);
         if (otherHistory) {
             rereadUnlessUpdated(() -> mPosition, this::follow, this::readAll);
             return;
@@ -242,7 +242,7 @@
         }
         updateStoreClock(m.readTime());
         if (peers().isPrecededBy(sender)) {
-            mRole.onHeard(now());
+            mRole.onReaderHeard(now());
         }
         if (!m.until().isAfter(mPosition) || !mHasRead) {
             return;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Seats.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Seats.java
@@ -4,9 +4,9 @@
 
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.route.Pick;
-import org.forkseam.core.route.SeatPlanner;
-import org.forkseam.core.route.SeatTable;
-import org.forkseam.core.route.SpillShare;
+import org.forkseam.core.route.ShardPlanner;
+import org.forkseam.core.route.ShardTable;
+import org.forkseam.core.route.SpillRate;
 import org.forkseam.core.traffic.Pool;
 import org.forkseam.core.traffic.TrafficConfig;
 import org.forkseam.core.util.BoundedMap;
@@ -58,10 +58,10 @@
     private final SharedRows mRows;
     private final RandomGenerator mRandom;
     private final TargetDirectory mTargets;
-    private final Map<String, SeatTable> mTables = new HashMap<>();
-    private final Map<String, SeatPlanner> mPlanners = new HashMap<>();
+    private final Map<String, ShardTable> mTables = new HashMap<>();
+    private final Map<String, ShardPlanner> mPlanners = new HashMap<>();
     private final Map<String, Long> mLastRequest = new HashMap<>();
-    private final Map<String, SpillShare> mSpills = new HashMap<>();
+    private final Map<String, SpillRate> mSpills = new HashMap<>();
 
     /**
      * Holders of seats without the prompts of their keys: their seats were added under load, or
@@ -93,8 +93,8 @@
     // ---------------------------------------------------------------- queries
 
     /** Returns the seats of a pool. */
-    public SeatTable table(String pool) {
-        return mTables.getOrDefault(pool, SeatTable.empty());
+    public ShardTable table(String pool) {
+        return mTables.getOrDefault(pool, ShardTable.empty());
     }
 
     /**
@@ -104,7 +104,7 @@
      * target, which served the key before.
      */
     public List<String> likelyHolders(String pool, long keyHash) {
-        List<String> order = table(pool).order(keyHash);
+        List<String> order = table(pool).preferenceOrder(keyHash);
         if (order.isEmpty()) {
             return order;
         }
@@ -129,7 +129,7 @@
      * it is the first in the order of the key and has not taken over its seat.
      */
     boolean isImpliedHolder(String pool, long keyHash, String targetId) {
-        List<String> order = table(pool).order(keyHash);
+        List<String> order = table(pool).preferenceOrder(keyHash);
         return !order.isEmpty()
                 && order.get(0).equals(targetId)
                 && !mPreviousHolders.containsKey(targetId)
@@ -138,7 +138,7 @@
 
     Map<String, List<String>> dump() {
         Map<String, List<String>> m = new TreeMap<>();
-        mTables.forEach((pool, table) -> m.put(pool, table.holders()));
+        mTables.forEach((pool, table) -> m.put(pool, table.owners()));
         return m;
     }
 
@@ -152,8 +152,8 @@
         spills(pool).onPick(reason, mClock.nowMillis());
     }
 
-    private SpillShare spills(String pool) {
-        return mSpills.computeIfAbsent(pool, p -> SpillShare.since(mClock.nowMillis()));
+    private SpillRate spills(String pool) {
+        return mSpills.computeIfAbsent(pool, p -> SpillRate.startingAt(mClock.nowMillis()));
     }
 
     // ---------------------------------------------------------------- updates
@@ -168,8 +168,8 @@
             return;
         }
         String pool = row.key().substring(KEY_PREFIX.length());
-        SeatTable table = SeatTable.of(Arrays.asList(row.value().split(",")));
-        SeatTable before = table(pool);
+        ShardTable table = ShardTable.of(Arrays.asList(row.value().split(",")));
+        ShardTable before = table(pool);
         mTables.put(pool, table);
         if (!table.equals(before)) {
             updatePreviousHolders(before, table);
@@ -182,11 +182,11 @@
         }
     }
 
-    private void updatePreviousHolders(SeatTable before, SeatTable after) {
-        int both = Math.min(before.holders().size(), after.holders().size());
+    private void updatePreviousHolders(ShardTable before, ShardTable after) {
+        int both = Math.min(before.owners().size(), after.owners().size());
         for (int i = 0; i < both; i++) {
-            String old = before.holders().get(i);
-            String now = after.holders().get(i);
+            String old = before.owners().get(i);
+            String now = after.owners().get(i);
             if (!old.equals(now)) {
                 mPreviousHolders.put(now, old);
             }
@@ -194,10 +194,10 @@
     }
 
     /** Records the holders of seats that were added while the pool had requests. */
-    private void updateColdHolders(String pool, SeatTable before, SeatTable after) {
-        int known = before.holders().size();
+    private void updateColdHolders(String pool, ShardTable before, ShardTable after) {
+        int known = before.owners().size();
         if (known > 0 && mLastRequest.containsKey(pool)) {
-            after.holders().stream().skip(known).forEach(mColdHolders::add);
+            after.owners().stream().skip(known).forEach(mColdHolders::add);
         }
         mColdHolders.retainAll(allHolders());
     }
@@ -212,7 +212,7 @@
 
     private Set<String> allHolders() {
         Set<String> all = new HashSet<>();
-        mTables.values().forEach(t -> all.addAll(t.holders()));
+        mTables.values().forEach(t -> all.addAll(t.owners()));
         return all;
     }
 
@@ -239,25 +239,25 @@
         return PLAN_PERIOD_MILLIS;
     }
 
-    private Optional<SeatTable> nextTable(String pool, long now) {
-        SeatPlanner planner = mPlanners.computeIfAbsent(pool, p -> SeatPlanner.create());
+    private Optional<ShardTable> nextTable(String pool, long now) {
+        ShardPlanner planner = mPlanners.computeIfAbsent(pool, p -> ShardPlanner.create());
         long last = Math.max(mStartedAt, mLastRequest.getOrDefault(pool, mStartedAt));
-        SeatPlanner.Demand demand = SeatPlanner.Demand.BALANCED;
+        ShardPlanner.Demand demand = ShardPlanner.Demand.BALANCED;
         if (now - last > POOL_IDLE_MILLIS) {
-            demand = SeatPlanner.Demand.IDLE;
-        } else if (spills(pool).isOutOfBalance(now)) {
-            demand = SeatPlanner.Demand.SPILLING;
+            demand = ShardPlanner.Demand.IDLE;
+        } else if (spills(pool).isImbalanced(now)) {
+            demand = ShardPlanner.Demand.SPILLING;
         }
         return planner.next(table(pool), mTargets.pool(pool), demand, now);
     }
 
     private void propose(String pool) {
-        Optional<SeatTable> next = nextTable(pool, mClock.nowMillis());
+        Optional<ShardTable> next = nextTable(pool, mClock.nowMillis());
         if (next.isEmpty() || mStopped) {
             mProposing = false;
             return;
         }
-        String value = String.join(",", next.get().holders());
+        String value = String.join(",", next.get().owners());
         mRows.compareAndSet(KEY_PREFIX + pool, value, mFollower.position(KEY_PREFIX + pool))
                 .whenComplete(
                         (row, failure) -> {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
@@ -3,7 +3,7 @@
 import org.forkseam.core.member.TargetChange;
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.member.TargetEntry;
-import org.forkseam.core.share.TargetNews;
+import org.forkseam.core.share.TargetListDelta;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.direct.log.Event;
@@ -41,7 +41,7 @@
     private final FleetSource mSource;
     private final TargetDirectory mTargets = TargetDirectory.create();
     private long mPauseMillis;
-    private TargetNews.Listed mList = TargetNews.Listed.of(List.of());
+    private TargetListDelta.Snapshot mList = TargetListDelta.Snapshot.of(List.of());
     private final Consumer<String> mOnRestart;
     private StoreTimestamp mReadAt = StoreTimestamp.NEVER;
     private int mPartsLeft;
@@ -145,14 +145,15 @@
             scheduleNextRead();
             return;
         }
-        TargetNews.Listed list = TargetNews.Listed.of(read.value());
-        TargetNews news = TargetNews.between(mList.entries(), list, read.readAt(), read.position());
+        TargetListDelta.Snapshot list = TargetListDelta.Snapshot.of(read.value());
+        TargetListDelta news =
+                TargetListDelta.between(mList.entries(), list, read.readAt(), read.position());
         boolean first = !mHasList;
         apply(list, read.position(), now);
         mReadAt = read.readTime();
         mPartsLeft = 0;
         if (audience == Audience.ALL) {
-            broadcast(first ? List.of() : news.inSteps(MAX_ENTRIES_PER_MESSAGE), news);
+            broadcast(first ? List.of() : news.split(MAX_ENTRIES_PER_MESSAGE), news);
         }
         scheduleNextRead();
     }
@@ -210,7 +211,7 @@
         return until;
     }
 
-    private void apply(TargetNews.Listed list, StorePosition position, long confirmedAt) {
+    private void apply(TargetListDelta.Snapshot list, StorePosition position, long confirmedAt) {
         mHasList = true;
         mConfirmedAt = confirmedAt;
         mTargets.apply(position, list.entries(), now()).forEach(this::onChange);
@@ -258,14 +259,18 @@
      * Broadcasts the parts of a change; if there are none, too many, or one is too long, only a
      * notice of the read.
      */
-    private void broadcast(List<TargetNews> parts, TargetNews change) {
+    private void broadcast(List<TargetListDelta> parts, TargetListDelta change) {
         boolean few = parts.size() * (long) peers().peerCount() <= MAX_MESSAGES;
         if (few
                 && !parts.isEmpty()
                 && parts.stream().allMatch(s -> peers().broadcast(new PeerMessage.Targets(s)))) {
             return;
         }
-        peers().broadcast(new PeerNotice(PeerNotice.Kind.LIST, change.readTime(), change.after()));
+        peers().broadcast(
+                        new PeerNotice(
+                                PeerNotice.Kind.LIST,
+                                change.readTime(),
+                                change.resultFingerprint()));
     }
 
     /** Applies another router's notice that it has read the list. */
@@ -281,22 +286,22 @@
     }
 
     /** Applies another router's change of the list; parts of one change have the same read time. */
-    void onListChange(TargetNews news) {
+    void onListChange(TargetListDelta news) {
         boolean nextPart = mPartsLeft > 0 && news.readTime().equals(mReadAt);
         if (isOutdated(news.readTime()) && !nextPart) {
             return;
         }
-        if (news.after() == mList.fingerprint()) {
+        if (news.resultFingerprint() == mList.fingerprint()) {
             confirm(news.readTime());
             return;
         }
-        TargetNews.Listed list = news.applyTo(mList);
-        if (!news.isRight(list) || news.position().isBefore(mTargets.position())) {
+        TargetListDelta.Snapshot list = news.applyTo(mList);
+        if (!news.isConsistent(list) || news.position().isBefore(mTargets.position())) {
             read(Audience.NONE);
             return;
         }
         mReadAt = news.readTime();
-        mPartsLeft = news.more();
+        mPartsLeft = news.remainingSteps();
         apply(list, news.position(), toLocalTime(mReadAt));
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
@@ -4,11 +4,11 @@
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.member.TargetIncarnation;
-import org.forkseam.core.share.FactExchange;
+import org.forkseam.core.share.GossipQueue;
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.log.Event;
-import org.forkseam.direct.spi.AnswerHead;
+import org.forkseam.direct.spi.ResponseHead;
 
 import java.util.EnumMap;
 import java.util.List;
@@ -37,7 +37,7 @@
 
     private final TargetDirectory mTargets;
     private final Clock mClock;
-    private final FactExchange<Integer> mLeavingExchange = FactExchange.of(MAX_LEAVING, f -> 0);
+    private final GossipQueue<Integer> mLeavingExchange = GossipQueue.of(MAX_LEAVING, f -> 0);
     private final Map<TargetIncarnation, Boolean> mLogged =
             BoundedMap.byInsertion(MAX_LOGGED_STARTS);
     private final Map<Signal, Long> mCounts = new EnumMap<>(Signal.class);
@@ -64,12 +64,12 @@
     // ---------------------------------------------------------------- responses
 
     /** Handles the signals in the headers of a target's response. */
-    public void onAnswer(Target t, AnswerHead head) {
+    public void onAnswer(Target t, ResponseHead head) {
         if (head.wrongTarget()) {
             record(t, Signal.REPLACED_BY_ANSWER, t.onReplaced());
             return;
         }
-        AvailabilitySignal word = head.word();
+        AvailabilitySignal word = head.signal();
         if (word.isNone()) {
             return;
         }
@@ -106,7 +106,7 @@
 
     /** Returns the starts of leaving targets to send to another router. */
     List<Integer> digest() {
-        return mLeavingExchange.digest();
+        return mLeavingExchange.nextBatch();
     }
 
     /** Applies another router's starts of leaving targets. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/log/LineEncoder.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/log/JsonLineEncoder.java
@@ -14,31 +14,31 @@
 import ch.qos.logback.core.encoder.EncoderBase;
 
 /**
- * Writes a log line as one JSON object: time, level, event, then the line's own values.
+ * Encodes a log event as one line of JSON with time, level, event name and fields. Thread-safe.
  *
  * @since 0.2
  */
-public final class LineEncoder extends EncoderBase<ILoggingEvent> {
+public final class JsonLineEncoder extends EncoderBase<ILoggingEvent> {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final byte[] NOTHING = new byte[0];
-    private static final int USUAL_BYTES = 512;
+    private static final byte[] EMPTY = new byte[0];
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
     /** Creates an encoder. */
-    public LineEncoder() {}
+    public JsonLineEncoder() {}
 
     @Override
     public byte[] headerBytes() {
-        return NOTHING;
+        return EMPTY;
     }
 
     @Override
     public byte[] footerBytes() {
-        return NOTHING;
+        return EMPTY;
     }
 
     @Override
     public byte[] encode(ILoggingEvent e) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(USUAL_BYTES);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator g = JSON.createGenerator(out)) {
             g.writeStartObject();
             g.writeNumberField("time_ms", e.getTimeStamp());
@@ -48,8 +48,8 @@
             writeError(g, e.getThrowableProxy());
             g.writeEndObject();
         } catch (IOException x) {
-            addError("log line not written", x);
-            return NOTHING;
+            addError("failed to encode log event", x);
+            return EMPTY;
         }
         out.write('\n');
         return out.toByteArray();
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/ChunksTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/ChunkEncoderTest.java
@@ -18,13 +18,13 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Tests chunks by the library that reads them. */
-class ChunksTest {
+/** Tests that Netty's decoder reads the encoded chunks. */
+class ChunkEncoderTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** Whatever the parts: the library's decoder reads the same bytes, and an end. */
+    /** Decoding returns the encoded bytes, whatever the split into parts. */
     @Property(seed = "4731", tries = 300)
-    void whatIsFramedIsReadAgain(
+    void encodedChunksAreDecoded(
             @ForAll @Size(min = 1, max = 6) List<@Size(min = 1, max = 600) byte[]> parts)
             throws Exception {
         EmbeddedChannel channel = new EmbeddedChannel(new HttpClientCodec());
@@ -32,7 +32,7 @@
         ByteArrayOutputStream sent = new ByteArrayOutputStream();
         for (byte[] p : parts) {
             sent.write(p);
-            channel.writeInbound(Chunks.of(channel.alloc(), Unpooled.copiedBuffer(p)));
+            channel.writeInbound(ChunkEncoder.encode(channel.alloc(), Unpooled.copiedBuffer(p)));
         }
         channel.writeInbound(Unpooled.copiedBuffer("0\r\n\r\n", StandardCharsets.US_ASCII));
         ByteArrayOutputStream read = new ByteArrayOutputStream();
@@ -46,11 +46,11 @@
         channel.finishAndReleaseAll();
     }
 
-    /** The part is the frame's from then on. */
+    /** The encoder takes ownership of the part. */
     @org.junit.jupiter.api.Test
-    void thePartIsReleased() {
+    void partIsReleased() {
         ByteBuf part = Unpooled.copiedBuffer("x", StandardCharsets.US_ASCII);
-        Chunks.of(Buffers.allocator(), part).release();
+        ChunkEncoder.encode(Buffers.allocator(), part).release();
         assertThat(part.refCnt()).isEqualTo(0);
     }
 }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/EarlyListenerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/EarlyServerSocketTest.java
@@ -18,8 +18,8 @@
 import java.net.Socket;
 import java.util.concurrent.TimeUnit;
 
-/** Tests that callers are not refused while a router is still loading. */
-class EarlyListenerTest {
+/** Tests that connections made before the event loop serves the socket are not refused. */
+class EarlyServerSocketTest {
     private static final int TIMEOUT_MILLIS = 5_000;
 
     private final MultiThreadIoEventLoopGroup mGroup =
@@ -30,7 +30,7 @@
         mGroup.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    /** Sends back what came. */
+    /** Echoes received bytes. */
     private static final class Echo extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel ch) {
@@ -46,8 +46,8 @@
     }
 
     @Test
-    void connectionsThatCameBeforeAreServed() throws Exception {
-        EarlyListener listener = EarlyListener.open(new InetSocketAddress("127.0.0.1", 0));
+    void earlyConnectionsAreServed() throws Exception {
+        EarlyServerSocket listener = EarlyServerSocket.open(new InetSocketAddress("127.0.0.1", 0));
         try (Socket before = connect(listener)) {
             before.getOutputStream().write('a');
             Channel serving = listener.serve(mGroup, new Echo()).get(5, TimeUnit.SECONDS);
@@ -62,7 +62,7 @@
 
     @Test
     void closingTheChannelRefusesCallers() throws Exception {
-        EarlyListener listener = EarlyListener.open(new InetSocketAddress("127.0.0.1", 0));
+        EarlyServerSocket listener = EarlyServerSocket.open(new InetSocketAddress("127.0.0.1", 0));
         listener.serve(mGroup, new Echo()).get(5, TimeUnit.SECONDS).close().sync();
         boolean refused = false;
         try (Socket s = connect(listener)) {
@@ -73,7 +73,7 @@
         assertThat(refused).isTrue();
     }
 
-    private static Socket connect(EarlyListener listener) throws IOException {
+    private static Socket connect(EarlyServerSocket listener) throws IOException {
         Socket s = new Socket();
         s.connect(listener.address(), TIMEOUT_MILLIS);
         s.setSoTimeout(TIMEOUT_MILLIS);
