--- a/forkseam-core/src/main/java/org/forkseam/core/cfg/ConfigChange.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/cfg/ConfigChange.java
@@ -61,7 +61,7 @@
     }
 
     /** Returns whether the hash matches the content. */
-    public boolean isHashValid() {
+    public boolean isIntact() {
         return hash.equals(
                 computeHash(version, parentHash, changeId, sort(set), new TreeSet<>(removed)));
     }
--- a/forkseam-core/src/main/java/org/forkseam/core/cfg/FleetConfig.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/cfg/FleetConfig.java
@@ -52,7 +52,7 @@
      */
     public Optional<FleetConfig> with(ConfigChange change) {
         boolean follows = change.version() == mVersion + 1 && change.parentHash().equals(mHash);
-        if (!follows || !change.isHashValid()) {
+        if (!follows || !change.isIntact()) {
             return Optional.empty();
         }
         Map<String, Map<String, String>> sections = new TreeMap<>(mSections);
