--- a/forkseam-core/src/main/java/org/forkseam/core/admit/ColdStartLimiter.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/admit/ColdStartLimiter.java
@@ -25,7 +25,7 @@
     /** Maximum number of targets tracked; the least recently used are dropped. */
     private static final int MAX_TARGETS = 1_024;
 
-    private final RouterShares mRouters;
+    private final RouterShares mRouterShares;
     private final Map<String, Deque<Long>> mSent = BoundedMap.byAccess(MAX_TARGETS);
     private double mOvershoot;
     private long mSkipped;
@@ -36,8 +36,8 @@
         Optional<ColdStartShare> shareFor(long targetHash);
     }
 
-    private ColdStartLimiter(RouterShares routers, double overshoot) {
-        mRouters = routers;
+    private ColdStartLimiter(RouterShares routerShares, double overshoot) {
+        mRouterShares = routerShares;
         mOvershoot = overshoot;
     }
 
@@ -46,8 +46,8 @@
      *
      * @param overshoot factor by which the declared limit of a cold target may be exceeded
      */
-    public static ColdStartLimiter of(RouterShares routers, double overshoot) {
-        return new ColdStartLimiter(routers, overshoot);
+    public static ColdStartLimiter of(RouterShares routerShares, double overshoot) {
+        return new ColdStartLimiter(routerShares, overshoot);
     }
 
     /** Sets the factor by which the declared limit of a cold target may be exceeded. */
@@ -73,7 +73,7 @@
 
     private boolean hasCapacity(Target t, ColdStart coldStart, long nowMillis) {
         int limit = (int) (coldStart.perSecond() * mOvershoot);
-        int share = mRouters.shareFor(t.hash()).map(s -> s.requestsPerSecond(limit)).orElse(0);
+        int share = mRouterShares.shareFor(t.hash()).map(s -> s.requestsPerSecond(limit)).orElse(0);
         return sentInWindow(t, nowMillis).size() < share;
     }
 
--- a/forkseam-core/src/main/java/org/forkseam/core/route/PoolView.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/PoolView.java
@@ -24,7 +24,7 @@
     private final List<TargetView> mTargets;
     private final Map<String, TargetView> mByName = new HashMap<>();
     private final Optional<HomeTable> mPreviousHomes;
-    private HomeTable mHomes;
+    private HomeTable mHomeTable;
     private final long mTotalCapacity;
     private long mTotalLoadAtMillis = Long.MIN_VALUE;
     private long mTotalLoad;
@@ -46,7 +46,8 @@
     /** Returns a view of the same pool with changed members. */
     public PoolView with(PoolSpec spec, Collection<TargetView> members) {
         List<TargetView> sorted = sortByName(members);
-        Optional<HomeTable> previous = mHomes == null ? mPreviousHomes : Optional.of(mHomes);
+        Optional<HomeTable> previous =
+                mHomeTable == null ? mPreviousHomes : Optional.of(mHomeTable);
         return new PoolView(spec, sorted, previous);
     }
 
@@ -89,11 +90,11 @@
 
     /** Built lazily, since sidecars do not use it. */
     private HomeTable homeTable() {
-        if (mHomes == null) {
+        if (mHomeTable == null) {
             List<HomeTable.Member> t = tableMembers(mTargets);
-            mHomes = mPreviousHomes.map(o -> o.with(t)).orElseGet(() -> HomeTable.of(t));
+            mHomeTable = mPreviousHomes.map(o -> o.with(t)).orElseGet(() -> HomeTable.of(t));
         }
-        return mHomes;
+        return mHomeTable;
     }
 
     /** Returns the total capacity of the pool. */
--- a/forkseam-core/src/test/java/org/forkseam/core/crash/QuarantineTermTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/crash/QuarantineTermTest.java
@@ -18,26 +18,26 @@
     private static final long TEN_MINUTES = 600_000;
     private static final long DAY = 86_400_000;
 
-    private static QuarantineTerm afterProbes(int failed) {
+    private static QuarantineTerm afterTrials(int failed) {
         QuarantineTerm t = QuarantineTerm.initial(NOW);
         for (int i = 0; i < failed; i++) {
-            t = t.withProbe(NOW, "host-1").doubled(NOW);
+            t = t.withTrial(NOW, "host-1").doubled(NOW);
         }
         return t;
     }
 
     @Test
-    void failedProbeDoublesTheTermUpToADay() {
-        assertThat(afterProbes(0).remainingMillis(NOW)).isEqualTo(TEN_MINUTES);
-        assertThat(afterProbes(1).remainingMillis(NOW)).isEqualTo(2 * TEN_MINUTES);
-        assertThat(afterProbes(2).remainingMillis(NOW)).isEqualTo(4 * TEN_MINUTES);
-        assertThat(afterProbes(20).remainingMillis(NOW)).isEqualTo(DAY);
+    void failedTrialDoublesTheTermUpToADay() {
+        assertThat(afterTrials(0).remainingMillis(NOW)).isEqualTo(TEN_MINUTES);
+        assertThat(afterTrials(1).remainingMillis(NOW)).isEqualTo(2 * TEN_MINUTES);
+        assertThat(afterTrials(2).remainingMillis(NOW)).isEqualTo(4 * TEN_MINUTES);
+        assertThat(afterTrials(20).remainingMillis(NOW)).isEqualTo(DAY);
     }
 
-    /** A router that fails during a probe must not keep the request refused forever. */
+    /** A router that fails during a trial must not keep the request refused forever. */
     @Test
-    void probeIsExclusiveAndTimesOut() {
-        QuarantineTerm t = QuarantineTerm.initial(NOW).withProbe(NOW + TEN_MINUTES, "host-1");
+    void trialIsExclusiveAndTimesOut() {
+        QuarantineTerm t = QuarantineTerm.initial(NOW).withTrial(NOW + TEN_MINUTES, "host-1");
         assertThat(t.isActive(NOW + TEN_MINUTES + 29_000)).isTrue();
         assertThat(t.isActive(NOW + TEN_MINUTES + 30_000)).isFalse();
         assertThat(t.termMillis()).isEqualTo(TEN_MINUTES);
@@ -55,7 +55,7 @@
 
     @Test
     void formatAndParseRoundTrip() {
-        for (QuarantineTerm t : List.of(afterProbes(1), afterProbes(1).withProbe(NOW, "host,1"))) {
+        for (QuarantineTerm t : List.of(afterTrials(1), afterTrials(1).withTrial(NOW, "host,1"))) {
             assertThat(QuarantineTerm.parse(t.format())).isEqualTo(Optional.of(t));
         }
         assertThat(QuarantineTerm.parse(QuarantineTerm.released().format()).get().isReleased())
--- a/forkseam-core/src/test/java/org/forkseam/core/route/ShardPlannerTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/ShardPlannerTest.java
@@ -101,11 +101,11 @@
     void takingOverAShardMovesNoOtherKey(
             @ForAll @IntRange(min = 2, max = 20) int size,
             @ForAll @IntRange(max = 1_000_000) int key) {
-        List<String> holders = new ArrayList<>();
+        List<String> owners = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            holders.add("t" + i);
+            owners.add("t" + i);
         }
-        ShardTable before = ShardTable.of(holders);
+        ShardTable before = ShardTable.of(owners);
         ShardTable after = before.withOwner(key % size, "new");
         long hash = Hashes.of("key" + key);
         String home = before.preferenceOrder(hash).get(0);
--- a/forkseam-core/src/test/java/org/forkseam/core/share/LeavingGossipTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/share/LeavingGossipTest.java
@@ -47,9 +47,9 @@
             }
         }
 
-        void onLeavingReceived(int start) {
-            if (mTargets.onLeavingReported(start).isPresent()) {
-                mLeaving.add(start);
+        void onLeavingReceived(int shortHash) {
+            if (mTargets.onLeavingReported(shortHash).isPresent()) {
+                mLeaving.add(shortHash);
             }
         }
     }
@@ -89,12 +89,12 @@
 
     /** Sends a message to a router chosen at random, unless it is lost. */
     private static int gossip(Router from, List<Router> routers, Random random) {
-        List<Integer> news = from.mLeaving.nextBatch();
-        if (!news.isEmpty() && random.nextDouble() >= LOSS_RATE) {
+        List<Integer> batch = from.mLeaving.nextBatch();
+        if (!batch.isEmpty() && random.nextDouble() >= LOSS_RATE) {
             Router to = routers.get(random.nextInt(routers.size()));
-            news.forEach(to::onLeavingReceived);
+            batch.forEach(to::onLeavingReceived);
         }
-        return news.size();
+        return batch.size();
     }
 
     private static void compare(int routers, double requests, double maxMisrouted) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
@@ -8,7 +8,7 @@
 import org.forkseam.direct.admin.OperatorPages;
 import org.forkseam.direct.flow.RouterService;
 import org.forkseam.direct.io.EarlyServerSocket;
-import org.forkseam.direct.know.Knowledge;
+import org.forkseam.direct.know.FleetState;
 import org.forkseam.direct.spi.HeaderCodec;
 
 import java.util.Map;
@@ -24,13 +24,14 @@
     /** Number of target list reads within the time in which a leaving target must be noticed. */
     private static final double READS_PER_DRAIN = 2.5;
 
-    private final ServiceManager mKernel;
-    private final Knowledge mKnowledge;
+    private final ServiceManager mServiceManager;
+    private final FleetState mFleetState;
     private final RouterService mRouter;
 
-    private DirectRouter(ServiceManager kernel, Knowledge knowledge, RouterService router) {
-        mKernel = kernel;
-        mKnowledge = knowledge;
+    private DirectRouter(
+            ServiceManager serviceManager, FleetState fleetState, RouterService router) {
+        mServiceManager = serviceManager;
+        mFleetState = fleetState;
         mRouter = router;
     }
 
@@ -46,23 +47,23 @@
             EventLoop loop,
             Clock clock,
             HeaderCodec codec,
-            Knowledge.Sources sources) {
+            FleetState.Sources sources) {
         RandomGenerator random = new java.util.SplittableRandom(settings.host().hashCode());
-        Knowledge knowledge =
-                Knowledge.of(
+        FleetState fleetState =
+                FleetState.of(
                         loop,
                         clock,
                         sources,
                         random,
-                        new Knowledge.RouterIdentity(settings.host(), settings.noticeAddress()),
+                        new FleetState.RouterIdentity(settings.host(), settings.noticeAddress()),
                         targetListMillis(settings.bounds()));
         RouterService router =
                 RouterService.of(
                         loop,
                         clock,
                         settings,
-                        new RouterService.Parts(listener, knowledge, codec, random));
-        ServiceManager kernel = ServiceManager.of(settings.bounds().shutdownMillis());
+                        new RouterService.Parts(listener, fleetState, codec, random));
+        ServiceManager serviceManager = ServiceManager.of(settings.bounds().shutdownMillis());
         AdminService admin =
                 AdminService.of(
                         loop,
@@ -74,17 +75,17 @@
                                 router::isReady,
                                 registry -> {
                                     router.meters().bindTo(registry);
-                                    StoreMeters.of(knowledge).bindTo(registry);
+                                    StoreMeters.of(fleetState).bindTo(registry);
                                 },
-                                knowledge::snapshot,
+                                fleetState::snapshot,
                                 OperatorPages.of(
                                         settings.host(),
                                         clock,
-                                        kernel::dump,
-                                        knowledge,
+                                        serviceManager::dump,
+                                        fleetState,
                                         router.decisions())));
-        kernel.add(knowledge).add(admin).add(router);
-        return new DirectRouter(kernel, knowledge, router);
+        serviceManager.add(fleetState).add(admin).add(router);
+        return new DirectRouter(serviceManager, fleetState, router);
     }
 
     private static long targetListMillis(RouterSettings.Bounds b) {
@@ -94,22 +95,22 @@
     /** Applies the limits of new settings; addresses and names are not changed. */
     public void reload(RouterSettings newer) {
         mRouter.reload(newer.bounds());
-        mKnowledge.setListMillis(targetListMillis(newer.bounds()));
+        mFleetState.setListMillis(targetListMillis(newer.bounds()));
     }
 
     /** Starts all services. */
     public void start() throws InterruptedException, ExecutionException {
-        mKernel.start();
+        mServiceManager.start();
     }
 
     /** Stops all services; returns after the last response or at the shutdown timeout. */
     public void stop() throws InterruptedException {
-        mKernel.stop();
+        mServiceManager.stop();
     }
 
     /** Returns the state of each service by name. */
     public Map<String, Object> dump() {
-        return mKernel.dump();
+        return mServiceManager.dump();
     }
 
     /** Returns whether the router is ready for callers. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/admin/OperatorPages.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/admin/OperatorPages.java
@@ -7,7 +7,7 @@
 import org.forkseam.core.traffic.Pool;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
-import org.forkseam.direct.know.Knowledge;
+import org.forkseam.direct.know.FleetState;
 import org.forkseam.direct.log.Event;
 
 import java.nio.charset.StandardCharsets;
@@ -34,19 +34,19 @@
     private final String mHost;
     private final Clock mClock;
     private final Supplier<Map<String, Object>> mDump;
-    private final Knowledge mKnowledge;
+    private final FleetState mFleetState;
     private final DecisionLog mDecisions;
 
     private OperatorPages(
             String host,
             Clock clock,
             Supplier<Map<String, Object>> dump,
-            Knowledge knowledge,
+            FleetState fleetState,
             DecisionLog decisions) {
         mHost = host;
         mClock = clock;
         mDump = dump;
-        mKnowledge = knowledge;
+        mFleetState = fleetState;
         mDecisions = decisions;
     }
 
@@ -55,9 +55,9 @@
             String host,
             Clock clock,
             Supplier<Map<String, Object>> dump,
-            Knowledge knowledge,
+            FleetState fleetState,
             DecisionLog decisions) {
-        return new OperatorPages(host, clock, dump, knowledge, decisions);
+        return new OperatorPages(host, clock, dump, fleetState, decisions);
     }
 
     /** Returns the page at a path as JSON, or empty if there is none. */
@@ -107,10 +107,10 @@
     private Object fleet(long now) {
         Map<String, Object> pools = new LinkedHashMap<>();
         Map<String, Object> targets = new LinkedHashMap<>();
-        for (Pool p : mKnowledge.config().pools()) {
+        for (Pool p : mFleetState.config().pools()) {
             List<String> names = new ArrayList<>();
             long load = 0;
-            for (Target t : mKnowledge.targets().pool(p.name())) {
+            for (Target t : mFleetState.targets().pool(p.name())) {
                 names.add(t.entry().id());
                 load += t.inFlight() + t.othersInFlight(now);
                 targets.put(t.entry().id(), describe(t, now));
@@ -121,8 +121,8 @@
             pools.put(p.name(), m);
         }
         Map<String, Object> out = new LinkedHashMap<>();
-        out.put("config_version", mKnowledge.config().version());
-        out.put("evacuated", mKnowledge.evacuated());
+        out.put("config_version", mFleetState.config().version());
+        out.put("evacuated", mFleetState.evacuated());
         out.put("pools", pools);
         out.put("targets", targets);
         return out;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Arrival.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Arrival.java
@@ -12,8 +12,8 @@
     private final int mIndex;
     private final long mMillis;
 
-    private Arrival(ReadStall gap, int index, long millis) {
-        mStall = gap;
+    private Arrival(ReadStall stall, int index, long millis) {
+        mStall = stall;
         mIndex = index;
         mMillis = millis;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
@@ -213,7 +213,7 @@
         onReceived();
         mHeadAt = mContext.now();
         mHead = head;
-        mContext.knowledge().signals().onAnswer(mTarget, mDecodedHead);
+        mContext.fleetState().signals().onAnswer(mTarget, mDecodedHead);
         mDecodedHead.load().ifPresent(l -> mTarget.onLoadReported(l, mContext.now()));
         mDecodedHead
                 .keepAliveMillis()
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerServer.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerServer.java
@@ -37,7 +37,7 @@
     }
 
     private void accept(Channel ch) {
-        CallerLimits limits = mContext.knowledge().config().limits();
+        CallerLimits limits = mContext.fleetState().config().limits();
         CallerConnection connection =
                 new CallerConnection(mContext, mContext.arrivalTracker().next());
         HttpDecoderConfig config =
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
@@ -30,13 +30,13 @@
      */
     private static final long MAX_CRASH_DELAY_MILLIS = 1_000;
 
-    private final TargetConnections mTargets;
+    private final TargetConnections mTargetConnections;
     private final Quarantine mQuarantine;
     private final Map<TargetIncarnation, Probe> mProbes = new HashMap<>();
     private long mCrashCount;
 
     CrashDetector(TargetConnections targets, Quarantine quarantine) {
-        mTargets = targets;
+        mTargetConnections = targets;
         mQuarantine = quarantine;
     }
 
@@ -65,12 +65,12 @@
             mProbes.put(t.incarnation(), probe);
         }
         probe.mContentHashes.add(contentHash);
-        boolean mayQuarantine = mQuarantine.isOneCrashFromConviction(contentHash);
+        boolean mayQuarantine = mQuarantine.isOneCrashFromQuarantine(contentHash);
         if (mayQuarantine) {
             probe.mCallbacks.add(callback);
         }
         if (isNew) {
-            mTargets.pool(t).openReplacement(probe);
+            mTargetConnections.pool(t).openReplacement(probe);
         }
         if (!mayQuarantine) {
             callback.run();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
@@ -33,7 +33,7 @@
     private final CallerRequest mRequest;
     private final ResponseSink mSink;
     private final long mContentHash;
-    private final QuarantineCheck mQuarantine;
+    private final QuarantineCheck mQuarantineCheck;
     private final RequestLogger mLogger;
     private final FinalResponse mResponse;
     private final long mReadAt;
@@ -52,7 +52,7 @@
         mRequest = request;
         mSink = sink;
         mContentHash = request.contentHash();
-        mQuarantine = new QuarantineCheck(context.knowledge().quarantine(), mContentHash);
+        mQuarantineCheck = new QuarantineCheck(context.fleetState().quarantine(), mContentHash);
         mLogger = new RequestLogger(context, request, mContentHash);
         mResponse = new FinalResponse(context, request, sink, this::onFinished);
         mTargetSelection = new TargetSelection(context, request);
@@ -80,11 +80,11 @@
     /** Checks the request against the active configuration, again if it has changed. */
     @Override
     public RequestQueue.Readiness prepare() {
-        if (!mContext.knowledge().isComplete()) {
+        if (!mContext.fleetState().isComplete()) {
             return RequestQueue.Readiness.NOT_YET;
         }
-        if (mConfig != mContext.knowledge().config()) {
-            check(mContext.knowledge().config());
+        if (mConfig != mContext.fleetState().config()) {
+            check(mContext.fleetState().config());
         }
         return mDone ? RequestQueue.Readiness.DONE : RequestQueue.Readiness.READY;
     }
@@ -117,7 +117,7 @@
     @Override
     public void dispatch() {
         mContext.retryBudgets().pool(pool()).onRequest(mContext.now());
-        mContext.knowledge().seats().onRequest(pool());
+        mContext.fleetState().shardTables().onRequest(pool());
         startAttempt();
     }
 
@@ -128,7 +128,7 @@
             respondWithFailure("no_time");
             return;
         }
-        if (!mQuarantine.maySend()) {
+        if (!mQuarantineCheck.maySend()) {
             refuseOrRequestTrial();
             return;
         }
@@ -180,17 +180,17 @@
 
     /** Handles a quarantined request: refuses it or requests a trial. */
     private void refuseOrRequestTrial() {
-        if (!mQuarantine.canRequestTrial()) {
+        if (!mQuarantineCheck.canRequestTrial()) {
             mFailureResponder.respondQuarantined(
-                    mQuarantine.retryAfterMillis(), mAdmission, mStreaming);
+                    mQuarantineCheck.retryAfterMillis(), mAdmission, mStreaming);
             return;
         }
-        mQuarantine.requestTrial(this::startAttemptUnlessDone);
+        mQuarantineCheck.requestTrial(this::startAttemptUnlessDone);
     }
 
     @Override
     public boolean maySend() {
-        return mQuarantine.maySend();
+        return mQuarantineCheck.maySend();
     }
 
     private FullHttpRequest requestFor(Target t) {
@@ -215,7 +215,7 @@
         mContext.meters().onAttempt(result.kind().name());
         result.recordOn(a.target(), mContext.errorRate(pool()), now);
         boolean answered = result.kind() == AttemptResult.Kind.ANSWERED && !a.isRateLimited();
-        mQuarantine.onAttemptEnd(result.kind().mayHaveRun(), answered);
+        mQuarantineCheck.onAttemptEnd(result.kind().mayHaveRun(), answered);
         updateLastEventId(a);
         if (result.kind() == AttemptResult.Kind.ANSWERED) {
             if (!mDone) {
@@ -290,7 +290,7 @@
     /** Refuses the request if the router has no configuration for too long. */
     private void refuseIfUnconfigured(long now) {
         if (now - mReadAt > CONFIG_WAIT_MILLIS) {
-            mConfig = mContext.knowledge().config();
+            mConfig = mContext.fleetState().config();
             mResponse.refuseUnconfigured(UNCONFIGURED_RETRY_AFTER_MILLIS);
         }
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestLogger.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestLogger.java
@@ -58,7 +58,7 @@
                         + " ("
                         + t.loadReportAgeMillis(now())
                         + " ms old), list "
-                        + mContext.knowledge().targets().position(),
+                        + mContext.fleetState().targets().position(),
                 t.entry().id());
     }
 
@@ -117,6 +117,6 @@
                 .with("rank", c.pick().rank())
                 .with("load", c.pick().load())
                 .with("load_age_ms", t.loadReportAgeMillis(now()))
-                .with("list", mContext.knowledge().targets().position());
+                .with("list", mContext.fleetState().targets().position());
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
@@ -8,7 +8,7 @@
 import org.forkseam.core.route.TargetPicker;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
-import org.forkseam.direct.know.Knowledge;
+import org.forkseam.direct.know.FleetState;
 import org.forkseam.direct.spi.HeaderCodec;
 
 import java.util.HashMap;
@@ -20,7 +20,7 @@
 final class RouterContext {
     private final Clock mClock;
     private final HeaderCodec mHeaderCodec;
-    private final Knowledge mKnowledge;
+    private final FleetState mFleetState;
     private final TargetConnections mTargetConnections;
     private Selectors mSelectors;
     private final ColdStartLimiter mColdStartLimiter;
@@ -67,7 +67,7 @@
     record Parts(
             Clock clock,
             HeaderCodec headerCodec,
-            Knowledge knowledge,
+            FleetState fleetState,
             TargetConnections targetConnections,
             Selectors selectors,
             ColdStartLimiter coldStartLimiter,
@@ -81,11 +81,11 @@
     private RouterContext(Parts p) {
         mClock = p.clock();
         mHeaderCodec = p.headerCodec();
-        mKnowledge = p.knowledge();
+        mFleetState = p.fleetState();
         mTargetConnections = p.targetConnections();
         mSelectors = p.selectors();
         mColdStartLimiter = p.coldStartLimiter();
-        mCrashDetector = new CrashDetector(p.targetConnections(), p.knowledge().quarantine());
+        mCrashDetector = new CrashDetector(p.targetConnections(), p.fleetState().quarantine());
         mRetryBudgets = p.retryBudgets();
         mResponses = p.responses();
         mMeters = p.meters();
@@ -133,8 +133,8 @@
         return mHeaderCodec;
     }
 
-    Knowledge knowledge() {
-        return mKnowledge;
+    FleetState fleetState() {
+        return mFleetState;
     }
 
     TargetConnections targetConnections() {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
@@ -18,7 +18,7 @@
 import org.forkseam.direct.RouterSettings;
 import org.forkseam.direct.io.Connector;
 import org.forkseam.direct.io.EarlyServerSocket;
-import org.forkseam.direct.know.Knowledge;
+import org.forkseam.direct.know.FleetState;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.HeaderCodec;
 
@@ -68,7 +68,7 @@
 
     private final EventLoop mLoop;
     private final EarlyServerSocket mListener;
-    private final Knowledge mKnowledge;
+    private final FleetState mFleetState;
     private final RouterContext mContext;
     private final CallerServer mServer;
     private RouterSettings.Bounds mBounds;
@@ -79,14 +79,14 @@
     private RouterService(EventLoop loop, Clock clock, RouterSettings settings, Parts p) {
         mLoop = loop;
         mListener = p.listener();
-        mKnowledge = p.knowledge();
+        mFleetState = p.fleetState();
         mBounds = settings.bounds();
         mContext =
                 RouterContext.of(
                         new RouterContext.Parts(
                                 clock,
                                 p.headerCodec(),
-                                p.knowledge(),
+                                p.fleetState(),
                                 new TargetConnections(Connector.of(loop), clock),
                                 new RouterContext.Selectors(
                                         CandidateFilter.of(p.random()),
@@ -94,7 +94,7 @@
                                         LeastLoadedPicker.of(p.random()),
                                         RegionFilter.of(settings.regions())),
                                 ColdStartLimiter.of(
-                                        p.knowledge()::shareFor, mBounds.coldOvershoot()),
+                                        p.fleetState()::shareFor, mBounds.coldOvershoot()),
                                 new RetryBudgets(retryBounds(mBounds), this::routerCount),
                                 new ResponseFactory(p.headerCodec(), p.random()),
                                 new RequestMeters(),
@@ -141,7 +141,7 @@
      */
     public record Parts(
             EarlyServerSocket listener,
-            Knowledge knowledge,
+            FleetState fleetState,
             HeaderCodec headerCodec,
             RandomGenerator random) {}
 
@@ -160,7 +160,7 @@
 
     @Override
     public List<String> dependencies() {
-        return List.of(Knowledge.NAME);
+        return List.of(FleetState.NAME);
     }
 
     @Override
@@ -218,7 +218,7 @@
 
     /** Returns whether the router is ready for callers. */
     public boolean isReady() {
-        return !mContext.isDraining() && mKnowledge.isComplete();
+        return !mContext.isDraining() && mFleetState.isComplete();
     }
 
     @Override
@@ -233,7 +233,7 @@
         m.put("cold_passed_over", mContext.coldStartLimiter().skipped());
         m.put("target_crashes", mContext.crashDetector().crashCount());
         m.put("leaving", mContext.isDraining());
-        m.put("targets", mKnowledge.targets().all().stream().map(this::dump).toList());
+        m.put("targets", mFleetState.targets().all().stream().map(this::dump).toList());
         return m;
     }
 
@@ -270,18 +270,18 @@
 
     private void closeStaleConnections(long now) {
         Map<TargetIncarnation, Target> known = new HashMap<>();
-        for (Target t : mKnowledge.targets().all()) {
+        for (Target t : mFleetState.targets().all()) {
             known.put(t.incarnation(), t);
             mContext.targetConnections()
-                    .setLimit(t, mKnowledge.config().pool(t.entry().pool()), routerCount());
+                    .setLimit(t, mFleetState.config().pool(t.entry().pool()), routerCount());
         }
         mContext.targetConnections().closeUnused(known);
-        CallerLimits limits = mKnowledge.config().limits();
+        CallerLimits limits = mFleetState.config().limits();
         List.copyOf(mContext.connections()).forEach(c -> c.closeIfStale(now, limits));
     }
 
     private int routerCount() {
-        return Math.max(MIN_ROUTER_COUNT, mKnowledge.routers());
+        return Math.max(MIN_ROUTER_COUNT, mFleetState.routers());
     }
 
     private void continueDraining(long now) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
@@ -9,7 +9,7 @@
 import org.forkseam.core.traffic.Pool;
 import org.forkseam.core.traffic.Prompt;
 import org.forkseam.core.util.Hashes;
-import org.forkseam.direct.know.Knowledge;
+import org.forkseam.direct.know.FleetState;
 
 import java.util.HashSet;
 import java.util.List;
@@ -66,7 +66,10 @@
                 mContext.selectors().candidateFilter().apply(admitted, mTried, now);
         PickRequest request =
                 new PickRequest(
-                        mKey, mSharedTokens, mContext.knowledge().seats().table(pool), resting);
+                        mKey,
+                        mSharedTokens,
+                        mContext.fleetState().shardTables().table(pool),
+                        resting);
         Optional<Pick> pick = picker(admission).pick(request, c.targets(), now);
         pick.ifPresent(p -> onPick(pool, p, cold, now));
         return pick;
@@ -74,7 +77,7 @@
 
     /** Returns the targets of the request's pool in the allowed regions. */
     private List<Target> allowedTargets(Admission a) {
-        List<Target> pool = mContext.knowledge().targets().pool(a.pool());
+        List<Target> pool = mContext.fleetState().targets().pool(a.pool());
         return mContext.selectors().homeRegions().allowed(pool, a.route(), a.team());
     }
 
@@ -93,7 +96,7 @@
     private void onPick(String pool, Pick p, ColdStart cold, long now) {
         mTried.add(p.target().entry().id());
         mContext.coldStartLimiter().onRequestSent(p.target(), cold, now);
-        mContext.knowledge().seats().onPick(pool, p.reason());
+        mContext.fleetState().shardTables().onPick(pool, p.reason());
     }
 
     /**
@@ -147,11 +150,12 @@
         if (mSharedTokens == 0) {
             return Optional.empty();
         }
-        Knowledge known = mContext.knowledge();
-        List<String> likely = known.seats().likelyHolders(pool, mKeyHash);
+        FleetState fleetState = mContext.fleetState();
+        List<String> likely = fleetState.shardTables().likelyHolders(pool, mKeyHash);
         mCopySource =
-                known.holders()
-                        .copySource(mKeyHash, t, likely, known.targets(), mContext.now())
+                fleetState
+                        .holders()
+                        .copySource(mKeyHash, t, likely, fleetState.targets(), mContext.now())
                         .map(s -> s.entry().address());
         return mCopySource;
     }
@@ -164,7 +168,7 @@
     /** Records that a target has processed the prompt. */
     void onAnswered(String pool, Target t) {
         if (mSharedTokens > 0) {
-            mContext.knowledge().onAnswered(pool, mKeyHash, t);
+            mContext.fleetState().onAnswered(pool, mKeyHash, t);
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
@@ -29,7 +29,7 @@
     /** Duration of a long poll; a lost one is repeated after it. */
     private static final long LONG_POLL_MILLIS = 1_000;
 
-    /** The polling router is heard once a second; the margin covers a slow response. */
+    /** The polling router broadcasts once a second; the margin covers a slow response. */
     private static final long READER_TIMEOUT_MILLIS = 1_150;
 
     /** Evacuated domains named in a log line. */
@@ -141,9 +141,9 @@
         if (isStopped()) {
             return;
         }
-        long quiet = mRole.standbyMillis(now());
-        if (quiet > 0) {
-            schedule(quiet + jitterMillis(), this::follow);
+        long standby = mRole.standbyMillis(now());
+        if (standby > 0) {
+            schedule(standby + jitterMillis(), this::follow);
             return;
         }
         StorePosition since = mPosition;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/FleetState.java
@@ -29,13 +29,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Holds this router's view of the fleet: configuration, targets and their load, seats of engine
- * pools, and the other routers. Delegates each part to a follower and dispatches messages of other
- * routers. Confined to the event loop.
+ * Holds this router's view of the fleet: configuration, targets and their load, shard tables of
+ * engine pools, and the other routers. Delegates each part to a follower and dispatches messages of
+ * other routers. Confined to the event loop.
  *
  * @since 0.2
  */
-public final class Knowledge implements Service {
+public final class FleetState implements Service {
     /** Name of the service. */
     public static final String NAME = "knowledge";
 
@@ -53,10 +53,10 @@
     private final PeerClient mPeerClient;
     private final StoreEra mEra = new StoreEra();
     private final StoreHealth mStoreHealth = new StoreHealth(this::onStoreRecovered);
-    private final ConfigFollower mConfig;
-    private final TargetFollower mTargets;
-    private final RowFollower mRows;
-    private final Seats mSeats;
+    private final ConfigFollower mConfigFollower;
+    private final TargetFollower mTargetFollower;
+    private final RowFollower mRowFollower;
+    private final ShardTables mShardTables;
     private final Quarantine mQuarantine;
     private final TargetObservations mObservations;
     private final TargetSignals mSignals;
@@ -91,7 +91,7 @@
         }
     }
 
-    private Knowledge(
+    private FleetState(
             EventLoop loop,
             Clock clock,
             Sources sources,
@@ -108,14 +108,15 @@
                 new FollowerBase.Context(
                         loop, clock, random, mPeerGroup, mStoreHealth, mEra, this::isComplete);
         FleetSource fleet = new EraCheckedFleetSource(sources.fleet(), mEra);
-        mTargets = new TargetFollower(context, fleet, listMillis, this::onRestart);
-        mConfig = new ConfigFollower(context, fleet, new OperatorListener());
+        mTargetFollower = new TargetFollower(context, fleet, listMillis, this::onRestart);
+        mConfigFollower = new ConfigFollower(context, fleet, new OperatorListener());
         SharedRows shared = new EraCheckedSharedRows(sources.shared(), mEra);
-        mRows = new RowFollower(context, shared, this::onRow);
-        mSeats = new Seats(context, shared, mRows, mTargets.targets());
-        mQuarantine = new Quarantine(context, shared, mRows);
-        mSignals = new TargetSignals(mTargets.targets(), clock);
-        mObservations = new TargetObservations(clock, mTargets.targets(), mQuarantine, mSignals);
+        mRowFollower = new RowFollower(context, shared, this::onRow);
+        mShardTables = new ShardTables(context, shared, mRowFollower, mTargetFollower.targets());
+        mQuarantine = new Quarantine(context, shared, mRowFollower);
+        mSignals = new TargetSignals(mTargetFollower.targets(), clock);
+        mObservations =
+                new TargetObservations(clock, mTargetFollower.targets(), mQuarantine, mSignals);
     }
 
     /**
@@ -124,17 +125,17 @@
      * @param self identity of this router
      * @param listMillis interval between reads of the list of targets, in milliseconds
      */
-    public static Knowledge of(
+    public static FleetState of(
             EventLoop loop,
             Clock clock,
             Sources sources,
             RandomGenerator random,
             RouterIdentity self,
             long listMillis) {
-        return new Knowledge(loop, clock, sources, random, self, listMillis);
+        return new FleetState(loop, clock, sources, random, self, listMillis);
     }
 
-    // ---------------------------------------------------------------- life-cycle
+    // ---------------------------------------------------------------- lifecycle
 
     @Override
     public String name() {
@@ -143,11 +144,11 @@
 
     @Override
     public CompletableFuture<Void> start() {
-        mLoop.execute(mConfig::start);
-        mLoop.execute(mTargets::start);
-        mLoop.execute(mRows::start);
+        mLoop.execute(mConfigFollower::start);
+        mLoop.execute(mTargetFollower::start);
+        mLoop.execute(mRowFollower::start);
         mLoop.execute(mQuarantine::start);
-        scheduleEvery(mSeats.planPeriodMillis(), () -> mSeats.plan(config()));
+        scheduleEvery(mShardTables.planPeriodMillis(), () -> mShardTables.plan(config()));
         scheduleEvery(LoadGossip.PERIOD_MILLIS, this::sendObservations);
         return mPeerGroup.listen();
     }
@@ -161,11 +162,11 @@
         mLoop.execute(
                 () -> {
                     mStopped = true;
-                    mConfig.stop();
-                    mTargets.stop();
-                    mSeats.stop();
+                    mConfigFollower.stop();
+                    mTargetFollower.stop();
+                    mShardTables.stop();
                     mQuarantine.stop();
-                    mRows.stop();
+                    mRowFollower.stop();
                     mPeerGroup.close();
                 });
         return CompletableFuture.completedFuture(null);
@@ -176,16 +177,16 @@
         long now = mClock.nowMillis();
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("config_version", config().version());
-        m.put("config_age_ms", now - mConfig.confirmedAt());
+        m.put("config_age_ms", now - mConfigFollower.confirmedAt());
         m.put("routes", config().routeCount());
         m.put("evacuated", evacuated());
         m.put("list_position", targets().position().toString());
-        m.put("list_age_ms", now - mTargets.confirmedAt());
+        m.put("list_age_ms", now - mTargetFollower.confirmedAt());
         m.put("targets", targets().all().size());
         m.put("unusable_entries", mUnusable.get());
         m.put("target_words", mSignals.dump());
         m.put("routers", mPeerGroup.routerCount());
-        m.put("seats", mSeats.dump());
+        m.put("seats", mShardTables.dump());
         m.put("quarantine", mQuarantine.dump());
         m.put("crash_suspects", mQuarantine.suspects());
         m.put("messages_sent", mPeerGroup.messagesSent());
@@ -201,17 +202,17 @@
 
     /** Sets the interval between reads of the list of targets. */
     public void setListMillis(long millis) {
-        mLoop.execute(() -> mTargets.setPauseMillis(millis));
+        mLoop.execute(() -> mTargetFollower.setPauseMillis(millis));
     }
 
     /** Returns the newest configuration. */
     public TrafficConfig config() {
-        return mConfig.config();
+        return mConfigFollower.config();
     }
 
     /** Returns the failure domains that operators have evacuated. */
     public Set<String> evacuated() {
-        return mConfig.evacuations().domains();
+        return mConfigFollower.evacuations().domains();
     }
 
     /** Returns the number of changes of the evacuated failure domains since the start. */
@@ -221,12 +222,12 @@
 
     /** Returns the targets. */
     public TargetDirectory targets() {
-        return mTargets.targets();
+        return mTargetFollower.targets();
     }
 
-    /** Returns the seats of engine pools. */
-    public Seats seats() {
-        return mSeats;
+    /** Returns the shard tables of engine pools. */
+    public ShardTables shardTables() {
+        return mShardTables;
     }
 
     /** Returns the quarantine of requests that crash targets. */
@@ -246,7 +247,7 @@
 
     /** Records that a target has answered a request with a key and so has processed its prompt. */
     public void onAnswered(String pool, long key, Target t) {
-        mObservations.onAnswered(key, t, mSeats.isImpliedHolder(pool, key, t.entry().id()));
+        mObservations.onAnswered(key, t, mShardTables.isImpliedHolder(pool, key, t.entry().id()));
     }
 
     /**
@@ -254,7 +255,7 @@
      * unknown.
      */
     public Optional<ColdStartShare> shareFor(long targetHash) {
-        return mRows.knowsRouters()
+        return mRowFollower.knowsRouters()
                 ? Optional.of(mPeerGroup.shareFor(targetHash))
                 : Optional.empty();
     }
@@ -294,7 +295,7 @@
      * callers.
      */
     public boolean isComplete() {
-        return config().isKnown() && mTargets.hasList();
+        return config().isKnown() && mTargetFollower.hasList();
     }
 
     // ---------------------------------------------------------------- other routers
@@ -312,22 +313,22 @@
             return;
         }
         if (m instanceof PeerMessage.Operators o) {
-            mConfig.onMessage(o, sender);
+            mConfigFollower.onMessage(o, sender);
             return;
         }
         if (m instanceof PeerMessage.Config c) {
-            mConfig.onConfigChange(c.change());
+            mConfigFollower.onConfigChange(c.change());
             return;
         }
         if (mStoreHealth.isDown()) {
             return; // the read after the outage resolves what was kept
         }
         if (m instanceof PeerMessage.Targets t) {
-            mTargets.onListChange(t.news());
+            mTargetFollower.onListChange(t.delta());
         } else if (m instanceof PeerMessage.Rows r) {
-            mRows.onMessage(r, sender);
+            mRowFollower.onMessage(r, sender);
         } else if (m instanceof PeerNotice n) {
-            mTargets.onNotice(n);
+            mTargetFollower.onNotice(n);
         }
     }
 
@@ -351,16 +352,16 @@
         boolean hasRead = m instanceof PeerNotice || m instanceof PeerMessage.Targets;
         mLastMessageAt = now;
         if (mStoreHealth.isDown() && (afterSilence || hasRead)) {
-            mTargets.retry();
+            mTargetFollower.retry();
         }
     }
 
     private void onRestart(String targetId) {
-        mSeats.onRestart(targetId);
+        mShardTables.onRestart(targetId);
     }
 
     private void onRow(SharedRow row) {
-        mSeats.apply(row);
+        mShardTables.apply(row);
         mQuarantine.apply(row);
     }
 
@@ -399,10 +400,11 @@
             Event.of("peer_knows_nothing").with("cause", failure.getMessage()).log();
             return;
         }
-        mConfig.offer(s.config(), "peer");
-        mConfig.offerEvacuations(s.evacuations().position(), s.evacuations().domains(), "peer");
-        mTargets.onSnapshot(s.listPosition(), s.targets());
-        mRows.onSnapshot(s.rows());
+        mConfigFollower.offer(s.config(), "peer");
+        mConfigFollower.offerEvacuations(
+                s.evacuations().position(), s.evacuations().domains(), "peer");
+        mTargetFollower.onSnapshot(s.listPosition(), s.targets());
+        mRowFollower.onSnapshot(s.rows());
     }
 
     /** Returns a snapshot for another router; empty while this one cannot serve callers. */
@@ -411,14 +413,14 @@
             return Optional.empty();
         }
         List<TargetEntry> entries =
-                targets().all().stream().map(Knowledge::toSnapshotEntry).toList();
+                targets().all().stream().map(FleetState::toSnapshotEntry).toList();
         return Optional.of(
                 PeerSnapshot.of(
                                 config(),
                                 targets().position(),
                                 entries,
-                                mRows.known(),
-                                mConfig.evacuations())
+                                mRowFollower.known(),
+                                mConfigFollower.evacuations())
                         .write());
     }
 
@@ -431,7 +433,7 @@
 
     private void onStoreRecovered() {
         long now = mClock.nowMillis();
-        long listAge = now - mTargets.confirmedAt();
+        long listAge = now - mTargetFollower.confirmedAt();
         targets().onSourceRecovered(now, listAge);
         Event.always("store_back")
                 .with("config", config().version())
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/FollowerBase.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/FollowerBase.java
@@ -15,7 +15,10 @@
  * event loop.
  */
 abstract class FollowerBase {
-    /** Random delay of reads, so that usually one router reads and the others hear of it first. */
+    /**
+     * Random delay of reads, so that usually one router reads and the others receive its message
+     * first.
+     */
     static final long JITTER_MILLIS = 250;
 
     private static final long FIRST_BACKOFF_MILLIS = 100;
@@ -54,7 +57,7 @@
      * @param peers the other routers
      * @param storeHealth availability of the store
      * @param era newest era of the store
-     * @param serving whether this router knows enough to serve callers
+     * @param serving whether this router has the state required to serve callers
      */
     record Context(
             EventLoop loop,
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerCodec.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerCodec.java
@@ -48,7 +48,7 @@
         } else if (m instanceof PeerMessage.Config c) {
             b = ConfigCodec.write(newMessage(CONFIG), c.change());
         } else if (m instanceof PeerMessage.Targets t) {
-            b = writeTargets(t.news());
+            b = writeTargets(t.delta());
         } else if (m instanceof PeerMessage.Rows r) {
             b = writeRows(r);
         } else {
@@ -113,14 +113,14 @@
 
     // ---------------------------------------------------------------- targets
 
-    private static ByteBuf writeTargets(TargetListDelta n) {
+    private static ByteBuf writeTargets(TargetListDelta delta) {
         ByteBuf b = newMessage(TARGETS);
-        b.writeLong(n.readAt());
-        write(b, n.position());
-        b.writeLong(n.resultFingerprint());
-        b.writeShort(n.remainingSteps());
-        b.writeShort(n.changed().size());
-        for (TargetEntry e : n.changed()) {
+        b.writeLong(delta.readAt());
+        write(b, delta.position());
+        b.writeLong(delta.resultFingerprint());
+        b.writeShort(delta.remainingSteps());
+        b.writeShort(delta.changed().size());
+        for (TargetEntry e : delta.changed()) {
             StringCodec.write(b, e.id());
             StringCodec.write(b, e.pool());
             StringCodec.write(b, e.address());
@@ -128,15 +128,15 @@
             b.writeInt(e.slots()).writeBoolean(e.leaving()).writeLong(e.coldMillis());
             b.writeLong(e.born());
         }
-        StringCodec.writeAll(b, n.removed());
+        StringCodec.writeAll(b, delta.removed());
         return b;
     }
 
     private static PeerMessage readTargets(ByteBuf b) {
         long readAt = b.readLong();
         StorePosition position = readPosition(b);
-        long after = b.readLong();
-        int more = b.readUnsignedShort();
+        long resultFingerprint = b.readLong();
+        int remainingSteps = b.readUnsignedShort();
         List<TargetEntry> changed = new ArrayList<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
             changed.add(
@@ -152,7 +152,12 @@
         }
         return new PeerMessage.Targets(
                 new TargetListDelta(
-                        readAt, position, after, more, changed, StringCodec.readAll(b)));
+                        readAt,
+                        position,
+                        resultFingerprint,
+                        remainingSteps,
+                        changed,
+                        StringCodec.readAll(b)));
     }
 
     // ---------------------------------------------------------------- rows
@@ -176,32 +181,32 @@
         long readAt = b.readLong();
         StorePosition since = readPosition(b);
         StorePosition until = readPosition(b);
-        boolean whole = b.readBoolean();
+        boolean complete = b.readBoolean();
         List<SharedRow> rows = new ArrayList<>();
         for (int i = b.readUnsignedShort(); i > 0; i--) {
             rows.add(new SharedRow(StringCodec.read(b), StringCodec.read(b), readPosition(b)));
         }
-        return new PeerMessage.Rows(readAt, since, until, whole, rows);
+        return new PeerMessage.Rows(readAt, since, until, complete, rows);
     }
 
     // ---------------------------------------------------------------- observations
 
-    private static ByteBuf writeObservations(PeerMessage.Observations l) {
+    private static ByteBuf writeObservations(PeerMessage.Observations o) {
         ByteBuf b = newMessage(OBSERVATIONS);
-        b.writeShort(l.loads().size());
-        for (LoadReading r : l.loads()) {
+        b.writeShort(o.loads().size());
+        for (LoadReading r : o.loads()) {
             b.writeInt(r.target()).writeShort(r.load()).writeShort(r.ageMillis());
         }
-        b.writeShort(l.holders().size());
-        for (PromptHolder f : l.holders()) {
-            b.writeLong(f.key()).writeInt(f.target());
+        b.writeShort(o.holders().size());
+        for (PromptHolder h : o.holders()) {
+            b.writeLong(h.key()).writeInt(h.target());
         }
-        b.writeShort(l.crashes().size());
-        for (CrashEvent f : l.crashes()) {
-            b.writeLong(f.content()).writeInt(f.crashId());
+        b.writeShort(o.crashes().size());
+        for (CrashEvent c : o.crashes()) {
+            b.writeLong(c.content()).writeInt(c.crashId());
         }
-        b.writeShort(l.leaving().size());
-        l.leaving().forEach(b::writeInt);
+        b.writeShort(o.leaving().size());
+        o.leaving().forEach(b::writeInt);
         return b;
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerGroup.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerGroup.java
@@ -17,7 +17,7 @@
 /** Tracks the other routers and sends them messages. Confined to the event loop. */
 final class PeerGroup {
     private final PeerChannel mChannel;
-    private final Knowledge.RouterIdentity mSelf;
+    private final FleetState.RouterIdentity mSelf;
     private final RandomGenerator mRandom;
     private final Map<String, String> mRouters = new LinkedHashMap<>();
     private List<String> mPeerAddresses = List.of();
@@ -25,7 +25,7 @@
 
     PeerGroup(
             EventLoop loop,
-            Knowledge.RouterIdentity self,
+            FleetState.RouterIdentity self,
             RandomGenerator random,
             BiConsumer<PeerMessage, InetSocketAddress> listener) {
         mChannel = new PeerChannel(loop, listener);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerMessage.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerMessage.java
@@ -77,12 +77,12 @@
     /**
      * Carries the changes of a newer list of targets, just read.
      *
-     * @param news the changes, or a part of them
+     * @param delta the changes, or a part of them
      */
-    record Targets(TargetListDelta news) implements PeerMessage {
+    record Targets(TargetListDelta delta) implements PeerMessage {
         @Override
         public Optional<StorePosition> storePosition() {
-            return Optional.of(news.position());
+            return Optional.of(delta.position());
         }
     }
 
@@ -131,9 +131,9 @@
      * Carries observations from targets' responses.
      *
      * @param loads newest load readings
-     * @param holders targets that have processed a prompt, where the seats do not imply it
+     * @param holders targets that have processed a prompt, where the shard table does not imply it
      * @param crashes crashes of targets and the requests they were processing
-     * @param leaving short hashes of the starts of targets that have announced to leave
+     * @param leaving short hashes of target incarnations that have announced to leave
      */
     record Observations(
             List<LoadReading> loads,
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerSnapshot.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerSnapshot.java
@@ -30,7 +30,7 @@
  * @param limits caller limits of the configuration
  * @param listPosition store position of the list of targets
  * @param targets the list of targets
- * @param rows rows that routers share, including the seats of engine pools
+ * @param rows rows that routers share, including the shard tables of engine pools
  * @param evacuations evacuated failure domains
  */
 record PeerSnapshot(
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
@@ -24,15 +24,15 @@
  * the number of messages grows linearly with the number of routers. A router that knows of three
  * crashes refuses the request at once and writes a shared row that outlives all routers.
  *
- * <p>An answered request is acquitted, whatever was counted against it before: copies of a harmless
- * request may have been in flight during three crashes of another cause. The release takes effect
- * locally at once, and on the other routers by messages and the row.
+ * <p>An answered request is released regardless of earlier crashes: copies of a harmless request
+ * may have been in flight during three crashes of another cause. The release takes effect locally
+ * at once, and on the other routers by messages and the row.
  *
  * @since 0.5
  */
 public final class Quarantine extends FollowerBase {
     /**
-     * Maximum random delay before a router that learned of a conviction from others writes its row,
+     * Maximum random delay before a router that learned of a quarantine from others writes its row,
      * so that only a few write it; the router that observed the last crash writes at once. Half of
      * the time within which all connected routers have to refuse.
      */
@@ -40,12 +40,12 @@
 
     private static final long SWEEP_PERIOD_MILLIS = 60_000;
 
-    private final RowFollower mFollower;
+    private final RowFollower mRowFollower;
     private final QuarantineRows mRows;
     private final SuspectRows mSuspectRows;
-    private final PoisonRequestDetector mSuspects = PoisonRequestDetector.create();
-    private final GossipQueue<CrashEvent> mCrashExchange =
-            GossipQueue.of(CrashEvent.MAX_PER_MESSAGE, f -> mSuspects.crashCount(f.content()));
+    private final PoisonRequestDetector mDetector = PoisonRequestDetector.create();
+    private final GossipQueue<CrashEvent> mCrashGossip =
+            GossipQueue.of(CrashEvent.MAX_PER_MESSAGE, f -> mDetector.crashCount(f.content()));
     private int mWriteFailures;
 
     /** Decision on a request. */
@@ -61,7 +61,7 @@
     /** Creates an empty quarantine; terms are measured on the clock of the store. */
     Quarantine(Context context, SharedRows rows, RowFollower follower) {
         super(context);
-        mFollower = follower;
+        mRowFollower = follower;
         mRows = new QuarantineRows(rows, follower);
         mSuspectRows = new SuspectRows(rows, follower::storeMillis);
     }
@@ -76,16 +76,16 @@
     public Verdict verdict(long content) {
         Optional<QuarantineTerm> term = mRows.term(content);
         if (term.isEmpty()) {
-            return mSuspects.isPoison(content) ? Verdict.REFUSE : Verdict.SERVE;
+            return mDetector.isPoison(content) ? Verdict.REFUSE : Verdict.SERVE;
         }
-        OptionalLong now = mFollower.storeMillis();
+        OptionalLong now = mRowFollower.storeMillis();
         boolean isOver = now.isPresent() && !term.get().isActive(now.getAsLong());
         return isOver ? Verdict.TRY : Verdict.REFUSE;
     }
 
     /** Returns the time after which a refused caller should retry, in milliseconds. */
     public long retryAfterMillis(long content) {
-        long now = mFollower.storeMillis().orElse(0);
+        long now = mRowFollower.storeMillis().orElse(0);
         QuarantineTerm term = mRows.term(content).orElse(QuarantineTerm.initial(now));
         return Math.max(1, term.remainingMillis(now));
     }
@@ -93,12 +93,12 @@
     /** Requests the trial of a request whose term has ended; one router at a time is granted it. */
     public CompletableFuture<Boolean> requestTrial(long content) {
         Optional<QuarantineTerm> term = mRows.term(content);
-        OptionalLong now = mFollower.storeMillis();
+        OptionalLong now = mRowFollower.storeMillis();
         if (term.isEmpty() || now.isEmpty()) {
             return CompletableFuture.completedFuture(false); // row or clock unknown
         }
-        QuarantineTerm tried = term.get().withProbe(now.getAsLong(), peers().host());
-        return mRows.write(content, tried)
+        QuarantineTerm trial = term.get().withTrial(now.getAsLong(), peers().host());
+        return mRows.write(content, trial)
                 .exceptionally(e -> false) // logged by the callee
                 .whenComplete(
                         (granted, e) ->
@@ -111,7 +111,7 @@
     /** Records the outcome of a trial that was granted to this router. */
     public void onTrialEnded(long content, boolean answered) {
         Optional<QuarantineTerm> term = mRows.term(content);
-        OptionalLong now = mFollower.storeMillis();
+        OptionalLong now = mRowFollower.storeMillis();
         if (term.isPresent() && now.isPresent()) {
             QuarantineTerm next =
                     answered ? QuarantineTerm.released() : term.get().doubled(now.getAsLong());
@@ -121,45 +121,45 @@
 
     /** Records a crash of a target, observed by this router, while it was processing a request. */
     public void onCrash(long content, int crash) {
-        CrashEvent fact = new CrashEvent(content, crash);
-        if (recordCrash(fact)) {
-            mCrashExchange.add(fact);
+        CrashEvent event = new CrashEvent(content, crash);
+        if (recordCrash(event)) {
+            mCrashGossip.add(event);
             onCrashRecorded(content, true);
         }
     }
 
     /** Records that a target has answered a request. */
     public void onAnswered(long content) {
-        acquit(content, true);
+        clear(content, true);
     }
 
     /**
-     * Acquits an answered request. Announced to other routers only if the request was suspect or
-     * refused.
+     * Clears the crashes of an answered request and releases it. Announced to other routers only if
+     * the request was suspect or refused.
      */
-    private void acquit(long content, boolean observedHere) {
-        boolean wasSuspect = mSuspects.onAnswered(content, now());
+    private void clear(long content, boolean observedHere) {
+        boolean wasSuspect = mDetector.onAnswered(content, now());
         boolean wasRefused = mRows.term(content).isPresent();
         if (!wasSuspect && !wasRefused) {
             return;
         }
         if (observedHere) {
-            mCrashExchange.removeIf(f -> f.content() == content);
+            mCrashGossip.removeIf(f -> f.content() == content);
         }
-        mCrashExchange.add(CrashEvent.answered(content));
+        mCrashGossip.add(CrashEvent.answered(content));
         if (wasRefused) {
             release(content, observedHere);
         }
     }
 
     /** Returns whether one more crash leads to the refusal of a request. */
-    public boolean isOneCrashFromConviction(long content) {
-        return mSuspects.crashCount(content) == PoisonRequestDetector.CRASH_THRESHOLD - 1;
+    public boolean isOneCrashFromQuarantine(long content) {
+        return mDetector.crashCount(content) == PoisonRequestDetector.CRASH_THRESHOLD - 1;
     }
 
     /** Returns the refused requests with their remaining time in milliseconds. */
     Map<String, Long> dump() {
-        return mRows.dump(mFollower.storeMillis().orElse(0));
+        return mRows.dump(mRowFollower.storeMillis().orElse(0));
     }
 
     /** Returns the number of cached quarantine rows. */
@@ -169,23 +169,23 @@
 
     /** Returns the number of requests with at least one crash, without the refused ones. */
     int suspects() {
-        return mSuspects.suspectCount();
+        return mDetector.suspectCount();
     }
 
     // ---------------------------------------------------------------- other routers
 
     /** Returns the crashes and answers to send to another router. */
     List<CrashEvent> digest() {
-        return mCrashExchange.nextBatch();
+        return mCrashGossip.nextBatch();
     }
 
     /** Applies another router's crashes and answers. */
-    void apply(List<CrashEvent> facts) {
-        for (CrashEvent f : facts) {
+    void apply(List<CrashEvent> events) {
+        for (CrashEvent f : events) {
             if (f.isAnswered()) {
-                acquit(f.content(), false);
+                clear(f.content(), false);
             } else if (recordCrash(f)) {
-                mCrashExchange.add(f);
+                mCrashGossip.add(f);
                 onCrashRecorded(f.content(), false);
             }
         }
@@ -193,24 +193,24 @@
 
     /** Records a crash and returns whether it was new. */
     private boolean recordCrash(CrashEvent f) {
-        return mRows.term(f.content()).isEmpty() && mSuspects.onEvent(f, now());
+        return mRows.term(f.content()).isEmpty() && mDetector.onEvent(f, now());
     }
 
     private void onCrashRecorded(long content, boolean observedHere) {
-        if (mSuspects.isPoison(content)) {
-            onConvicted(content, observedHere);
-        } else if (observedHere && isOneCrashFromConviction(content)) {
-            mSuspectRows.write(content, mSuspects.events(content));
+        if (mDetector.isPoison(content)) {
+            onQuarantined(content, observedHere);
+        } else if (observedHere && isOneCrashFromQuarantine(content)) {
+            mSuspectRows.write(content, mDetector.events(content));
         }
     }
 
-    private void onConvicted(long content, boolean observedHere) {
+    private void onQuarantined(long content, boolean observedHere) {
         Event.always("request_convicted")
                 .with("content", Hashes.toHex(content))
-                .with("crashes", mSuspects.crashCount(content))
+                .with("crashes", mDetector.crashCount(content))
                 .with("saw_last", observedHere)
                 .log();
-        schedule(writeDelayMillis(observedHere), () -> writeConviction(content));
+        schedule(writeDelayMillis(observedHere), () -> writeInitialTerm(content));
     }
 
     /** Returns the delay before writing a row, within which another router may have written it. */
@@ -249,27 +249,27 @@
     }
 
     private void onChange(QuarantineRows.Change c) {
-        mCrashExchange.removeIf(
+        mCrashGossip.removeIf(
                 f -> f.content() == c.content() && !f.isAnswered()); // all read the row
-        mSuspects.forget(c.content());
+        mDetector.forget(c.content());
         Event.always("quarantine")
                 .with("content", Hashes.toHex(c.content()))
                 .with("term_ms", c.term().map(QuarantineTerm::termMillis).orElse(0L))
                 .log();
         if (mRows.term(c.content()).isPresent()
-                && mSuspects.wasAnsweredRecently(c.content(), now())) {
+                && mDetector.wasAnsweredRecently(c.content(), now())) {
             release(c.content(), false); // the answer preceded the row
         }
     }
 
-    /** Writes the row of a convicted request unless another router has done so. */
-    private void writeConviction(long content) {
-        if (isStopped() || !mSuspects.isPoison(content)) {
+    /** Writes the first term of a poison request unless another router has done so. */
+    private void writeInitialTerm(long content) {
+        if (isStopped() || !mDetector.isPoison(content)) {
             return;
         }
-        OptionalLong now = mFollower.storeMillis();
+        OptionalLong now = mRowFollower.storeMillis();
         if (now.isEmpty()) {
-            retryWriteConviction(content);
+            retryWriteInitialTerm(content);
             return;
         }
         mRows.write(content, QuarantineTerm.initial(now.getAsLong()))
@@ -278,7 +278,7 @@
                             if (failure == null) {
                                 mWriteFailures = 0;
                             } else {
-                                retryWriteConviction(content);
+                                retryWriteInitialTerm(content);
                             }
                         });
     }
@@ -299,8 +299,8 @@
                         });
     }
 
-    private void retryWriteConviction(long content) {
-        schedule(backoffMillis(++mWriteFailures), () -> writeConviction(content));
+    private void retryWriteInitialTerm(long content) {
+        schedule(backoffMillis(++mWriteFailures), () -> writeInitialTerm(content));
     }
 
     /** Removes expired rows; only the router that reads the rows for all does so. */
@@ -309,8 +309,8 @@
             return;
         }
         schedule(SWEEP_PERIOD_MILLIS + jitterMillis(), this::sweep);
-        if (mFollower.isReader() && mFollower.storeMillis().isPresent()) {
-            mRows.sweep(mFollower.storeMillis().getAsLong());
+        if (mRowFollower.isReader() && mRowFollower.storeMillis().isPresent()) {
+            mRows.sweep(mRowFollower.storeMillis().getAsLong());
             mSuspectRows.sweep();
         }
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
@@ -30,7 +30,7 @@
     private static final int MAX_CACHED_ROWS = 2 * MAX_ROWS;
 
     private final SharedRows mRows;
-    private final RowFollower mFollower;
+    private final RowFollower mRowFollower;
     private final Map<Long, Row> mCache = BoundedMap.byInsertion(MAX_CACHED_ROWS);
     private final Set<Long> mPendingWrites = new HashSet<>();
 
@@ -38,21 +38,21 @@
      * A term and the position of its row.
      *
      * @param releasePending whether this router has released the request and the row does not yet
-     *     say so
+     *     show it
      */
     private record Row(QuarantineTerm term, StorePosition position, boolean releasePending) {}
 
     /**
      * Change of a row.
      *
-     * @param content hash of what the request asks for
+     * @param content hash of the request's content
      * @param term empty if the row was removed
      */
     record Change(long content, Optional<QuarantineTerm> term) {}
 
     QuarantineRows(SharedRows rows, RowFollower follower) {
         mRows = rows;
-        mFollower = follower;
+        mRowFollower = follower;
     }
 
     // ---------------------------------------------------------------- cache
@@ -127,7 +127,7 @@
             return CompletableFuture.completedFuture(false);
         }
         evictIfFull(content);
-        StorePosition expected = mFollower.position(ROW_KEY.keyOf(content));
+        StorePosition expected = mRowFollower.position(ROW_KEY.keyOf(content));
         return mRows.compareAndSet(ROW_KEY.keyOf(content), term.format(), expected)
                 .whenComplete((row, failure) -> mPendingWrites.remove(content))
                 .whenComplete((row, failure) -> logFailure(content, failure))
@@ -140,9 +140,9 @@
      */
     private boolean applyWritten(SharedRow row, boolean isOwn) {
         if (isOwn) {
-            mFollower.onWritten(row);
+            mRowFollower.onWritten(row);
         } else {
-            mFollower.onRead(row);
+            mRowFollower.onRead(row);
         }
         return isOwn;
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
@@ -27,7 +27,7 @@
     /** Duration of a long poll; a lost one is repeated after it. */
     private static final long LONG_POLL_MILLIS = 2_000;
 
-    /** The polling router is heard after each poll; the margin covers a slow response. */
+    /** The polling router broadcasts after each poll; the margin covers a slow response. */
     private static final long READER_TIMEOUT_MILLIS = LONG_POLL_MILLIS + 500;
 
     /** Changes within this time are read together. */
@@ -110,7 +110,7 @@
         return mHasRead && mPosition.era() == era().newest();
     }
 
-    // ---------------------------------------------------------------- life-cycle
+    // ---------------------------------------------------------------- lifecycle
 
     void start() {
         readAll();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowRestorer.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowRestorer.java
@@ -24,14 +24,14 @@
 
     private final SharedRows mRows;
     private final RowTable mTable;
-    private final RowFollower mFollower;
+    private final RowFollower mRowFollower;
     private boolean mWriting;
 
     RowRestorer(Context context, SharedRows rows, RowTable table, RowFollower follower) {
         super(context);
         mRows = rows;
         mTable = table;
-        mFollower = follower;
+        mRowFollower = follower;
     }
 
     void start() {
@@ -78,7 +78,7 @@
 
     /** Writes the rows that the store lacks, one at a time. */
     private void rewriteRows(boolean isFirst) {
-        if (isStopped() || mWriting || !mFollower.isCurrent()) {
+        if (isStopped() || mWriting || !mRowFollower.isCurrent()) {
             return;
         }
         if (isFirst) {
@@ -101,10 +101,10 @@
             RowFollower.logWriteFailure(row.key(), failure);
             schedule(RETRY_MILLIS, () -> rewriteRows(false));
         } else if (now.value().equals(row.value())) {
-            mFollower.onWritten(now);
+            mRowFollower.onWritten(now);
             rewriteRows(false);
         } else {
-            mFollower.onRead(now);
+            mRowFollower.onRead(now);
             schedule(CONFLICT_RETRY_MILLIS, () -> rewriteRows(false));
         }
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Seats.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ShardTables.java
@@ -28,12 +28,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Follows the seats of engine pools, which are stored in shared rows, and proposes changes. Any
- * router proposes by compare-and-set; there is no leader. Confined to the event loop.
+ * Follows the shard tables of engine pools, which are stored in shared rows, and proposes changes.
+ * Any router proposes by compare-and-set; there is no leader. Confined to the event loop.
  *
  * @since 0.2
  */
-public final class Seats {
+public final class ShardTables {
     private static final long PLAN_PERIOD_MILLIS = 400;
 
     /**
@@ -48,9 +48,9 @@
      * Number of targets, after the first in the order of a key, that serve the key while the first
      * is unavailable.
      */
-    private static final int MAX_FALLBACK_HOLDERS = 2;
+    private static final int MAX_FALLBACK_OWNERS = 2;
 
-    private static final int MAX_PREVIOUS_HOLDERS = 256;
+    private static final int MAX_PREVIOUS_OWNERS = 256;
     private static final String KEY_PREFIX = "seats/";
 
     private final EventLoop mLoop;
@@ -61,22 +61,21 @@
     private final Map<String, ShardTable> mTables = new HashMap<>();
     private final Map<String, ShardPlanner> mPlanners = new HashMap<>();
     private final Map<String, Long> mLastRequest = new HashMap<>();
-    private final Map<String, SpillRate> mSpills = new HashMap<>();
+    private final Map<String, SpillRate> mSpillRates = new HashMap<>();
 
     /**
-     * Holders of seats without the prompts of their keys: their seats were added under load, or
-     * they have restarted.
+     * Shard owners without the prompts of their keys: their shards were added under load, or they
+     * have restarted.
      */
-    private final Set<String> mColdHolders = new HashSet<>();
+    private final Set<String> mColdOwners = new HashSet<>();
 
-    private final Map<String, String> mPreviousHolders =
-            BoundedMap.byInsertion(MAX_PREVIOUS_HOLDERS);
-    private final RowFollower mFollower;
+    private final Map<String, String> mPreviousOwners = BoundedMap.byInsertion(MAX_PREVIOUS_OWNERS);
+    private final RowFollower mRowFollower;
     private final long mStartedAt;
     private boolean mProposing;
     private boolean mStopped;
 
-    Seats(
+    ShardTables(
             FollowerBase.Context context,
             SharedRows rows,
             RowFollower follower,
@@ -86,21 +85,21 @@
         mRows = rows;
         mRandom = context.random();
         mTargets = targets;
-        mFollower = follower;
+        mRowFollower = follower;
         mStartedAt = mClock.nowMillis();
     }
 
     // ---------------------------------------------------------------- queries
 
-    /** Returns the seats of a pool. */
+    /** Returns the shard table of a pool. */
     public ShardTable table(String pool) {
         return mTables.getOrDefault(pool, ShardTable.empty());
     }
 
     /**
      * Returns the targets that are likely to have processed the prompt of a key, the likeliest
-     * first. Usually that is the order of the key. If its first target has taken over a seat, the
-     * previous holder and the next targets in the order come first; if its seat was added, the next
+     * first. Usually that is the order of the key. If its first target has taken over a shard, the
+     * previous owner and the next targets in the order come first; if its shard was added, the next
      * target, which served the key before.
      */
     public List<String> likelyHolders(String pool, long keyHash) {
@@ -108,32 +107,32 @@
         if (order.isEmpty()) {
             return order;
         }
-        String previous = mPreviousHolders.get(order.get(0));
-        if (previous == null && !mColdHolders.contains(order.get(0))) {
+        String previous = mPreviousOwners.get(order.get(0));
+        if (previous == null && !mColdOwners.contains(order.get(0))) {
             return order;
         }
         List<String> likely = new ArrayList<>(order);
         if (previous != null) {
-            likely.add(Math.min(MAX_FALLBACK_HOLDERS, likely.size() - 1), likely.remove(0));
+            likely.add(Math.min(MAX_FALLBACK_OWNERS, likely.size() - 1), likely.remove(0));
             likely.add(0, previous);
         } else {
-            // None of the recently added holders has processed the prompt.
-            likely.removeIf(mColdHolders::contains);
-            likely.add(Math.min(MAX_FALLBACK_HOLDERS, likely.size()), order.get(0));
+            // None of the recently added owners has processed the prompt.
+            likely.removeIf(mColdOwners::contains);
+            likely.add(Math.min(MAX_FALLBACK_OWNERS, likely.size()), order.get(0));
         }
         return likely;
     }
 
     /**
-     * Returns whether routers infer from the seats that a target has processed the prompt of a key:
-     * it is the first in the order of the key and has not taken over its seat.
+     * Returns whether routers infer from the shard table that a target has processed the prompt of
+     * a key: it is the first in the order of the key and has not taken over its shard.
      */
     boolean isImpliedHolder(String pool, long keyHash, String targetId) {
         List<String> order = table(pool).preferenceOrder(keyHash);
         return !order.isEmpty()
                 && order.get(0).equals(targetId)
-                && !mPreviousHolders.containsKey(targetId)
-                && !mColdHolders.contains(targetId);
+                && !mPreviousOwners.containsKey(targetId)
+                && !mColdOwners.contains(targetId);
     }
 
     Map<String, List<String>> dump() {
@@ -147,13 +146,13 @@
         mLastRequest.put(pool, mClock.nowMillis());
     }
 
-    /** Records why a target of an engine pool was chosen. */
+    /** Records why a target of an engine pool was selected. */
     public void onPick(String pool, Pick.Reason reason) {
-        spills(pool).onPick(reason, mClock.nowMillis());
+        spillRate(pool).onPick(reason, mClock.nowMillis());
     }
 
-    private SpillRate spills(String pool) {
-        return mSpills.computeIfAbsent(pool, p -> SpillRate.startingAt(mClock.nowMillis()));
+    private SpillRate spillRate(String pool) {
+        return mSpillRates.computeIfAbsent(pool, p -> SpillRate.startingAt(mClock.nowMillis()));
     }
 
     // ---------------------------------------------------------------- updates
@@ -162,7 +161,7 @@
         mStopped = true;
     }
 
-    /** Applies a changed row of seats; ignores other and removed rows. */
+    /** Applies a changed shard table row; ignores other and removed rows. */
     void apply(SharedRow row) {
         if (!row.key().startsWith(KEY_PREFIX) || !row.exists()) {
             return;
@@ -172,8 +171,8 @@
         ShardTable before = table(pool);
         mTables.put(pool, table);
         if (!table.equals(before)) {
-            updatePreviousHolders(before, table);
-            updateColdHolders(pool, before, table);
+            updatePreviousOwners(before, table);
+            updateColdOwners(pool, before, table);
             Event.always("seats")
                     .with("pool", pool)
                     .with("position", row.position())
@@ -182,35 +181,35 @@
         }
     }
 
-    private void updatePreviousHolders(ShardTable before, ShardTable after) {
+    private void updatePreviousOwners(ShardTable before, ShardTable after) {
         int both = Math.min(before.owners().size(), after.owners().size());
         for (int i = 0; i < both; i++) {
             String old = before.owners().get(i);
             String now = after.owners().get(i);
             if (!old.equals(now)) {
-                mPreviousHolders.put(now, old);
+                mPreviousOwners.put(now, old);
             }
         }
     }
 
-    /** Records the holders of seats that were added while the pool had requests. */
-    private void updateColdHolders(String pool, ShardTable before, ShardTable after) {
-        int known = before.owners().size();
-        if (known > 0 && mLastRequest.containsKey(pool)) {
-            after.owners().stream().skip(known).forEach(mColdHolders::add);
+    /** Records the owners of shards that were added while the pool had requests. */
+    private void updateColdOwners(String pool, ShardTable before, ShardTable after) {
+        int previousSize = before.owners().size();
+        if (previousSize > 0 && mLastRequest.containsKey(pool)) {
+            after.owners().stream().skip(previousSize).forEach(mColdOwners::add);
         }
-        mColdHolders.retainAll(allHolders());
+        mColdOwners.retainAll(allOwners());
     }
 
     /** Records that a target has restarted under its id and lost the prompts of its keys. */
     void onRestart(String targetId) {
-        mPreviousHolders.remove(targetId);
-        if (allHolders().contains(targetId)) {
-            mColdHolders.add(targetId);
+        mPreviousOwners.remove(targetId);
+        if (allOwners().contains(targetId)) {
+            mColdOwners.add(targetId);
         }
     }
 
-    private Set<String> allHolders() {
+    private Set<String> allOwners() {
         Set<String> all = new HashSet<>();
         mTables.values().forEach(t -> all.addAll(t.owners()));
         return all;
@@ -218,16 +217,16 @@
 
     // ---------------------------------------------------------------- proposing
 
-    /** Schedules a proposal if the seats of a pool should change. */
+    /** Schedules a proposal if the shard table of a pool should change. */
     void plan(TrafficConfig config) {
         long now = mClock.nowMillis();
-        if (!mFollower.isCurrent() || mProposing || mStopped) {
+        if (!mRowFollower.isCurrent() || mProposing || mStopped) {
             return;
         }
         for (Pool p : config.pools()) {
             if (p.engine() && nextTable(p.name(), now).isPresent()) {
                 mProposing = true;
-                long first = mFollower.isReader() ? 0 : FALLBACK_PLAN_DELAY_MILLIS;
+                long first = mRowFollower.isReader() ? 0 : FALLBACK_PLAN_DELAY_MILLIS;
                 long pause = first + mRandom.nextLong(PLAN_PERIOD_MILLIS);
                 mLoop.schedule(() -> propose(p.name()), pause, TimeUnit.MILLISECONDS);
                 return;
@@ -245,7 +244,7 @@
         ShardPlanner.Demand demand = ShardPlanner.Demand.BALANCED;
         if (now - last > POOL_IDLE_MILLIS) {
             demand = ShardPlanner.Demand.IDLE;
-        } else if (spills(pool).isImbalanced(now)) {
+        } else if (spillRate(pool).isImbalanced(now)) {
             demand = ShardPlanner.Demand.SPILLING;
         }
         return planner.next(table(pool), mTargets.pool(pool), demand, now);
@@ -258,12 +257,12 @@
             return;
         }
         String value = String.join(",", next.get().owners());
-        mRows.compareAndSet(KEY_PREFIX + pool, value, mFollower.position(KEY_PREFIX + pool))
+        mRows.compareAndSet(KEY_PREFIX + pool, value, mRowFollower.position(KEY_PREFIX + pool))
                 .whenComplete(
                         (row, failure) -> {
                             mProposing = false;
                             if (failure == null) {
-                                mFollower.onWritten(row);
+                                mRowFollower.onWritten(row);
                             } else {
                                 RowFollower.logWriteFailure("seats", failure);
                             }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
@@ -146,14 +146,14 @@
             return;
         }
         TargetListDelta.Snapshot list = TargetListDelta.Snapshot.of(read.value());
-        TargetListDelta news =
+        TargetListDelta delta =
                 TargetListDelta.between(mList.entries(), list, read.readAt(), read.position());
         boolean first = !mHasList;
         apply(list, read.position(), now);
         mReadAt = read.readTime();
         mPartsLeft = 0;
         if (audience == Audience.ALL) {
-            broadcast(first ? List.of() : news.split(MAX_ENTRIES_PER_MESSAGE), news);
+            broadcast(first ? List.of() : delta.split(MAX_ENTRIES_PER_MESSAGE), delta);
         }
         scheduleNextRead();
     }
@@ -286,23 +286,23 @@
     }
 
     /** Applies another router's change of the list; parts of one change have the same read time. */
-    void onListChange(TargetListDelta news) {
-        boolean nextPart = mPartsLeft > 0 && news.readTime().equals(mReadAt);
-        if (isOutdated(news.readTime()) && !nextPart) {
+    void onListChange(TargetListDelta delta) {
+        boolean nextPart = mPartsLeft > 0 && delta.readTime().equals(mReadAt);
+        if (isOutdated(delta.readTime()) && !nextPart) {
             return;
         }
-        if (news.resultFingerprint() == mList.fingerprint()) {
-            confirm(news.readTime());
+        if (delta.resultFingerprint() == mList.fingerprint()) {
+            confirm(delta.readTime());
             return;
         }
-        TargetListDelta.Snapshot list = news.applyTo(mList);
-        if (!news.isConsistent(list) || news.position().isBefore(mTargets.position())) {
+        TargetListDelta.Snapshot list = delta.applyTo(mList);
+        if (!delta.isConsistent(list) || delta.position().isBefore(mTargets.position())) {
             read(Audience.NONE);
             return;
         }
-        mReadAt = news.readTime();
-        mPartsLeft = news.remainingSteps();
-        apply(list, news.position(), toLocalTime(mReadAt));
+        mReadAt = delta.readTime();
+        mPartsLeft = delta.remainingSteps();
+        apply(list, delta.position(), toLocalTime(mReadAt));
     }
 
     /** Returns whether a read is older than the known list, or too old to end the grace period. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetObservations.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetObservations.java
@@ -21,7 +21,7 @@
     private final Clock mClock;
     private final TargetDirectory mTargets;
     private final PromptHolderIndex mHolders = PromptHolderIndex.create();
-    private final GossipQueue<PromptHolder> mHolderExchange =
+    private final GossipQueue<PromptHolder> mHolderGossip =
             GossipQueue.of(PromptHolder.MAX_PER_MESSAGE, f -> 0);
     private final Quarantine mQuarantine;
     private final TargetSignals mSignals;
@@ -41,19 +41,19 @@
     /**
      * Records that a target has answered a request with a key and so has processed its prompt.
      *
-     * @param known whether all routers infer this from the seats, so that it need not be sent
+     * @param implied whether all routers infer this from the shard table, so it need not be sent
      */
-    void onAnswered(long key, Target t, boolean known) {
+    void onAnswered(long key, Target t, boolean implied) {
         boolean isNew = mHolders.onAnswered(key, t.incarnation(), mClock.nowMillis());
-        if (isNew && !known) {
-            mHolderExchange.add(new PromptHolder(key, t.shortHash()));
+        if (isNew && !implied) {
+            mHolderGossip.add(new PromptHolder(key, t.shortHash()));
         }
     }
 
     /** Returns the observations to send to another router; empty if there are none. */
     Optional<PeerMessage> digest() {
         List<LoadReading> loads = LoadGossip.newestReadings(mTargets.all(), mClock.nowMillis());
-        List<PromptHolder> holders = mHolderExchange.nextBatch();
+        List<PromptHolder> holders = mHolderGossip.nextBatch();
         List<CrashEvent> crashes = mQuarantine.digest();
         List<Integer> leaving = mSignals.digest();
         return loads.isEmpty() && holders.isEmpty() && crashes.isEmpty() && leaving.isEmpty()
@@ -73,7 +73,7 @@
 
     private void applyHolder(PromptHolder f, Target t) {
         if (mHolders.onAnswered(f.key(), t.incarnation(), mClock.nowMillis())) {
-            mHolderExchange.add(f);
+            mHolderGossip.add(f);
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
@@ -27,26 +27,26 @@
  */
 public final class TargetSignals {
     /**
-     * Starts of targets in one message, 4 bytes each; limited by the maximum size of the other
+     * Target incarnations in one message, 4 bytes each; limited by the maximum size of the other
      * parts.
      */
     static final int MAX_LEAVING = 16;
 
-    /** Starts of targets remembered to log a malformed signal of each only once. */
-    private static final int MAX_LOGGED_STARTS = 256;
+    /** Incarnations remembered to log a malformed signal of each only once. */
+    private static final int MAX_LOGGED_INCARNATIONS = 256;
 
     private final TargetDirectory mTargets;
     private final Clock mClock;
-    private final GossipQueue<Integer> mLeavingExchange = GossipQueue.of(MAX_LEAVING, f -> 0);
+    private final GossipQueue<Integer> mLeavingGossip = GossipQueue.of(MAX_LEAVING, f -> 0);
     private final Map<TargetIncarnation, Boolean> mLogged =
-            BoundedMap.byInsertion(MAX_LOGGED_STARTS);
+            BoundedMap.byInsertion(MAX_LOGGED_INCARNATIONS);
     private final Map<Signal, Long> mCounts = new EnumMap<>(Signal.class);
 
     /** Kind of signal and its source. */
     public enum Signal {
-        /** A response says that its target is leaving. */
+        /** A response announces that its target is leaving. */
         LEAVING_BY_ANSWER,
-        /** Another router says that a target is leaving. */
+        /** Another router reports that a target is leaving. */
         LEAVING_BY_ROUTER,
         /** A response asks for no requests for some time. */
         HOLD_OFF_BY_ANSWER,
@@ -69,22 +69,22 @@
             record(t, Signal.REPLACED_BY_ANSWER, t.onReplaced());
             return;
         }
-        AvailabilitySignal word = head.signal();
-        if (word.isNone()) {
+        AvailabilitySignal signal = head.signal();
+        if (signal.isNone()) {
             return;
         }
-        if (word.leaving()) {
+        if (signal.leaving()) {
             onLeaving(t);
         }
-        word.holdOffMillis().ifPresent(ms -> onHoldOff(t, ms));
-        word.malformed().ifPresent(field -> onMalformed(t, field));
+        signal.holdOffMillis().ifPresent(ms -> onHoldOff(t, ms));
+        signal.malformed().ifPresent(field -> onMalformed(t, field));
     }
 
     private void onLeaving(Target t) {
         boolean isNew = t.onLeavingAnnounced();
         record(t, Signal.LEAVING_BY_ANSWER, isNew);
         if (isNew) {
-            mLeavingExchange.add(t.shortHash());
+            mLeavingGossip.add(t.shortHash());
         }
     }
 
@@ -104,20 +104,20 @@
 
     // ---------------------------------------------------------------- other routers
 
-    /** Returns the starts of leaving targets to send to another router. */
+    /** Returns the short hashes of leaving targets to send to another router. */
     List<Integer> digest() {
-        return mLeavingExchange.nextBatch();
+        return mLeavingGossip.nextBatch();
     }
 
-    /** Applies another router's starts of leaving targets. */
+    /** Applies another router's short hashes of leaving targets. */
     void apply(List<Integer> leaving) {
-        for (int start : leaving) {
+        for (int shortHash : leaving) {
             count(Signal.LEAVING_BY_ROUTER);
-            mTargets.onLeavingReported(start)
+            mTargets.onLeavingReported(shortHash)
                     .ifPresent(
                             t -> {
                                 log(t, Signal.LEAVING_BY_ROUTER);
-                                mLeavingExchange.add(start);
+                                mLeavingGossip.add(shortHash);
                             });
         }
     }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerCodecTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/PeerCodecTest.java
@@ -138,10 +138,10 @@
         for (int i = 0; i < 40; i++) {
             many.add(new TargetEntry("i-" + i, "pool", "10.1.0.40:8001", "hall-a", 12, false, 0));
         }
-        TargetListDelta news =
+        TargetListDelta delta =
                 TargetListDelta.between(
                         List.of(), TargetListDelta.Snapshot.of(many), 1, StorePosition.of(0, 1));
-        assertThat(PeerCodec.write(new PeerMessage.Targets(news)).isPresent()).isFalse();
+        assertThat(PeerCodec.write(new PeerMessage.Targets(delta)).isPresent()).isFalse();
     }
 
     /** Guards the network cost of observations: routers send eight such messages a second. */
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
@@ -33,8 +33,8 @@
 import java.util.function.Consumer;
 
 /**
- * Tests convictions, acquittals, terms and trials of requests on several routers with an in-memory
- * store.
+ * Tests quarantine decisions, releases, terms and trials of requests on several routers with an
+ * in-memory store.
  */
 class QuarantineTest {
     private static final long AWAIT_MILLIS = 5_000;
@@ -135,7 +135,7 @@
             InetSocketAddress own = new InetSocketAddress("127.0.0.1", 5_000);
             PeerGroup peers =
                     new PeerGroup(
-                            mLoop, new Knowledge.RouterIdentity(host, own), random, (m, s) -> {});
+                            mLoop, new FleetState.RouterIdentity(host, own), random, (m, s) -> {});
             FollowerBase.Context context =
                     new FollowerBase.Context(
                             mLoop,
@@ -171,7 +171,7 @@
             onLoop(() -> mQuarantine.onCrash(content, crash));
         }
 
-        void convict(long content) throws Exception {
+        void quarantine(long content) throws Exception {
             for (int i = 1; i <= 3; i++) {
                 crash(content, i);
             }
@@ -241,7 +241,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- convictions
+    // ---------------------------------------------------------------- quarantine
 
     @Test
     void threeCrashesRefuseARequestOnAllRouters() throws Exception {
@@ -296,12 +296,12 @@
         assertThat(mRows.mAll.size()).isAtMost(MAX_ROWS);
     }
 
-    /** Concurrent convictions must leave one row and not repeat their writes. */
+    /** Concurrent quarantines must leave one row and not repeat their writes. */
     @Test
-    void routersThatConvictAtOnceAgree() throws Exception {
+    void routersThatQuarantineAtOnceAgree() throws Exception {
         TestRouter other = router();
-        mRouter.convict(CONTENT);
-        other.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
+        other.quarantine(CONTENT);
         drainLoop();
         assertThat(mRows.refused()).isEqualTo(1);
         assertThat(mRows.mWrites).isAtMost(2);
@@ -311,7 +311,7 @@
     @Test
     void duringAStoreOutageARequestIsRefusedAndItsRowWrittenLater() throws Exception {
         mRows.mUnavailable = true;
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
         mRows.mUnavailable = false;
         await(() -> mRows.refused() == 1);
@@ -328,13 +328,13 @@
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
     }
 
-    // ---------------------------------------------------------------- acquittals
+    // ---------------------------------------------------------------- releases
 
-    /** A target may answer a request that it started before the conviction. */
+    /** A target may answer a request that it started before the quarantine. */
     @Test
-    void anAnswerAfterTheConvictionReleasesTheRequest() throws Exception {
+    void anAnswerAfterTheQuarantineReleasesTheRequest() throws Exception {
         TestRouter other = router();
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         onLoop(() -> other.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         onLoop(() -> mRouter.mQuarantine.onAnswered(CONTENT));
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
@@ -344,13 +344,13 @@
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
     }
 
-    /** Acquittals must reach other routers by messages during a store outage. */
+    /** Releases must reach other routers by messages during a store outage. */
     @Test
     void routersTellEachOtherOfTheAnswerWithoutTheStore() throws Exception {
         TestRouter other = router();
         mRows.mUnavailable = true;
-        mRouter.convict(CONTENT);
-        other.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
+        other.quarantine(CONTENT);
         onLoop(() -> mRouter.mQuarantine.onAnswered(CONTENT));
         List<CrashEvent> digest = call(() -> mRouter.mQuarantine.digest());
         onLoop(() -> other.mQuarantine.apply(digest));
@@ -364,19 +364,19 @@
     void aRowThatComesAfterTheAnswerIsReleased() throws Exception {
         TestRouter other = router();
         onLoop(() -> other.mQuarantine.onAnswered(CONTENT));
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         onLoop(() -> other.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
         await(() -> mRouter.row().isReleased());
     }
 
     /**
-     * An earlier acquittal must not prevent a later conviction, for instance after an upgrade of
-     * the targets.
+     * An earlier release must not prevent a later quarantine, for instance after an upgrade of the
+     * targets.
      */
     @Test
-    void aReleasedRequestCanBeConvictedAgain() throws Exception {
-        mRouter.convict(CONTENT);
+    void aReleasedRequestCanBeQuarantinedAgain() throws Exception {
+        mRouter.quarantine(CONTENT);
         onLoop(() -> mRouter.mQuarantine.onAnswered(CONTENT));
         drainLoop();
         advanceClock(mRouter, TEN_MINUTES);
@@ -386,11 +386,11 @@
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
     }
 
-    /** Many different convictions must not fill the store or the cache; the latest are kept. */
+    /** Many different quarantines must not fill the store or the cache; the latest are kept. */
     @Test
     void quarantineRowsAreBounded() throws Exception {
         for (int i = 1; i <= 1_000; i++) {
-            mRouter.convict(i);
+            mRouter.quarantine(i);
         }
         assertThat(mRows.refused()).isAtMost(MAX_ROWS);
         assertThat(mRouter.verdict(1_000)).isEqualTo(Verdict.REFUSE);
@@ -406,7 +406,7 @@
     @Test
     void afterItsTermOneRouterMayTryTheRequestOnce() throws Exception {
         TestRouter other = router();
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         onLoop(() -> other.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         advanceClock(mRouter, TEN_MINUTES);
         advanceClock(other, TEN_MINUTES);
@@ -419,7 +419,7 @@
 
     @Test
     void aTrialThatEndsATargetDoublesTheTerm() throws Exception {
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         advanceClock(mRouter, TEN_MINUTES);
         mRouter.requestTrial(CONTENT);
         onLoop(() -> mRouter.mQuarantine.onTrialEnded(CONTENT, false));
@@ -429,19 +429,19 @@
 
     @Test
     void aTrialThatIsAnsweredReleasesTheRequest() throws Exception {
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         advanceClock(mRouter, TEN_MINUTES);
         mRouter.requestTrial(CONTENT);
         onLoop(() -> mRouter.mQuarantine.onTrialEnded(CONTENT, true));
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
     }
 
     /** Trials require a compare-and-set in the store. */
     @Test
     void duringAStoreOutageNoTrialIsGranted() throws Exception {
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         advanceClock(mRouter, TEN_MINUTES);
         mRows.mUnavailable = true;
         assertThat(mRouter.requestTrial(CONTENT)).isFalse();
@@ -451,7 +451,7 @@
     @Test
     void aSuspendedRouterNeverShortensATerm() throws Exception {
         TestRouter suspended = router();
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         onLoop(() -> suspended.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         advanceClock(mRouter, TEN_MINUTES);
         assertThat(suspended.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
@@ -467,7 +467,7 @@
     /** A router reads the quarantine rows at its start. */
     @Test
     void aRouterThatHasJustStartedKnowsWhatIsRefused() throws Exception {
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         TestRouter started = new TestRouter();
         onLoop(started.mFollower::start);
         assertThat(started.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
@@ -476,7 +476,7 @@
     /** A router that starts during a store outage gets the rows in a snapshot. */
     @Test
     void rowsFromASnapshotRefuseWithoutTheStoreClock() throws Exception {
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         TestRouter started = new TestRouter();
         onLoop(() -> started.mFollower.onSnapshot(List.copyOf(mRows.mAll.values())));
         assertThat(started.verdict(CONTENT)).isEqualTo(Verdict.REFUSE);
@@ -484,7 +484,7 @@
 
     @Test
     void anOperatorWhoRemovesTheRowReleasesTheRequest() throws Exception {
-        mRouter.convict(CONTENT);
+        mRouter.quarantine(CONTENT);
         onLoop(() -> mRouter.mFollower.onRead(SharedRow.absent(KEY, 0)));
         assertThat(mRouter.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
     }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
@@ -84,7 +84,10 @@
         SplittableRandom random = new SplittableRandom(1);
         PeerGroup peers =
                 new PeerGroup(
-                        mLoop, new Knowledge.RouterIdentity("own", OWN), random, (m, sender) -> {});
+                        mLoop,
+                        new FleetState.RouterIdentity("own", OWN),
+                        random,
+                        (m, sender) -> {});
         FollowerBase.Context context =
                 new FollowerBase.Context(
                         mLoop,
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
@@ -94,7 +94,7 @@
         SplittableRandom random = new SplittableRandom(1);
         InetSocketAddress own = new InetSocketAddress("127.0.0.1", 5_000);
         PeerGroup peers =
-                new PeerGroup(mLoop, new Knowledge.RouterIdentity("h", own), random, (m, s) -> {});
+                new PeerGroup(mLoop, new FleetState.RouterIdentity("h", own), random, (m, s) -> {});
         StoreHealth storeHealth = new StoreHealth(this::onRecovered);
         mFollower =
                 new TargetFollower(
