--- a/forkseam-core/src/main/java/org/forkseam/core/member/FleetView.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/member/FleetView.java
@@ -32,7 +32,7 @@
     private final Map<String, PoolView> mPools = new HashMap<>();
     private List<HostEntry> mHosts = List.of();
     private FleetConfig mConfig = FleetConfig.empty();
-    private int mRouters;
+    private int mRouterCount;
 
     /** Applies a new host list. */
     public void onHosts(List<HostEntry> hosts) {
@@ -68,7 +68,7 @@
 
     /** Returns the number of listed routers that are not leaving. */
     public int routerCount() {
-        return mRouters;
+        return mRouterCount;
     }
 
     /** Returns a pool by name. */
@@ -107,10 +107,10 @@
     private void rebuild() {
         Map<String, TargetView> previousTargets = new HashMap<>(mTargets);
         mTargets.clear();
-        mRouters = 0;
+        mRouterCount = 0;
         for (HostEntry h : mHosts) {
             if (h.isRouter() && !h.leaving()) {
-                mRouters++;
+                mRouterCount++;
             }
             if (h.isTarget()) {
                 TargetView t =
--- a/forkseam-core/src/main/java/org/forkseam/core/route/CandidateFilter.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/CandidateFilter.java
@@ -11,8 +11,8 @@
  * Removes targets that cannot or should not take a request.
  *
  * <p>Targets that accept no work or were already tried are always removed. Unhealthy targets are
- * removed unless more than half of the pool looks unhealthy (panic mode): then the health data is
- * more likely to be wrong than the pool, and all are kept. Not thread-safe.
+ * removed unless more than half of the pool is unhealthy (panic mode): then the health data is more
+ * likely to be wrong than the pool, and all are kept. Not thread-safe.
  *
  * @since 0.2
  */
--- a/forkseam-core/src/main/java/org/forkseam/core/route/PoolView.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/PoolView.java
@@ -128,14 +128,16 @@
         return mTotalCapacity == 0 ? 0 : (double) totalLoad(nowMillis) / mTotalCapacity;
     }
 
-    /** Returns whether more than half of the targets look dead, so that health data is ignored. */
+    /**
+     * Returns whether more than half of the targets are unhealthy, so that health data is ignored.
+     */
     public boolean isInPanicMode(long nowMillis) {
-        int dead = 0;
+        int unhealthy = 0;
         for (TargetView t : mTargets) {
             if (t.health().trafficShare(nowMillis) == 0) {
-                dead++;
+                unhealthy++;
             }
         }
-        return dead * 2 > mTargets.size();
+        return unhealthy * 2 > mTargets.size();
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/route/TargetView.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/TargetView.java
@@ -41,7 +41,7 @@
         mCapacity = capacity;
     }
 
-    /** Creates a view of a target about which nothing is known yet. */
+    /** Creates a view of a target without observed state. */
     public static TargetView of(
             String name, String failureDomain, String address, Labels labels, int capacity) {
         return new TargetView(name, failureDomain, address, labels, capacity);
--- a/forkseam-core/src/main/java/org/forkseam/core/share/LoadGossip.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/share/LoadGossip.java
@@ -12,10 +12,10 @@
 /**
  * Exchanges load readings of targets between routers.
  *
- * <p>A target reports its load in its answers, so that one of many routers hears of each target too
- * rarely by itself. Each router therefore periodically sends the newest readings it has, its own
- * and others', to a router chosen at random. A reading reaches all routers within a few rounds, at
- * a cost per router that does not depend on their number.
+ * <p>A target reports its load in its answers, so that one of many routers gets reports of each
+ * target too rarely by itself. Each router therefore periodically sends the newest readings it has,
+ * its own and others', to a router chosen at random. A reading reaches all routers within a few
+ * rounds, at a cost per router that does not depend on their number.
  *
  * <p>Stateless: readings are stored in the {@link Target}s, where newer ones replace older ones.
  *
--- a/forkseam-core/src/test/java/org/forkseam/core/member/AvailabilityOrderingTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/member/AvailabilityOrderingTest.java
@@ -180,7 +180,7 @@
         }
     }
 
-    /** Router with a model of what it was told. */
+    /** Router with a model of the information that it received. */
     private static final class Router {
         private final TargetDirectory mDirectory = TargetDirectory.create();
         private final Set<TargetIncarnation> mLeaving = new HashSet<>();
--- a/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/DirectRouter.java
@@ -55,7 +55,7 @@
                         clock,
                         sources,
                         random,
-                        new FleetState.RouterIdentity(settings.host(), settings.noticeAddress()),
+                        new FleetState.RouterIdentity(settings.host(), settings.peerAddress()),
                         targetListMillis(settings.bounds()));
         RouterService router =
                 RouterService.of(
@@ -70,7 +70,7 @@
                         new AdminService.ListenAddresses(
                                 settings.readinessAddress(),
                                 settings.metricsAddress(),
-                                settings.peerAddress()),
+                                settings.snapshotAddress()),
                         new AdminService.DataSources(
                                 router::isReady,
                                 registry -> {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/RouterSettings.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/RouterSettings.java
@@ -13,8 +13,8 @@
  * @param callerAddress listen address for callers
  * @param readinessAddress listen address for the balancer's readiness checks
  * @param metricsAddress listen address for metrics and the state dump, if any
- * @param peerAddress listen address for snapshot requests of other routers, if any
- * @param noticeAddress listen address for datagrams of other routers
+ * @param snapshotAddress listen address for snapshot requests of other routers, if any
+ * @param peerAddress listen address for datagrams of other routers
  * @param bounds time and load limits
  * @since 0.2
  */
@@ -25,8 +25,8 @@
         InetSocketAddress callerAddress,
         InetSocketAddress readinessAddress,
         Optional<InetSocketAddress> metricsAddress,
-        Optional<InetSocketAddress> peerAddress,
-        InetSocketAddress noticeAddress,
+        Optional<InetSocketAddress> snapshotAddress,
+        InetSocketAddress peerAddress,
         Bounds bounds) {
 
     /** Returns these settings with other limits. */
@@ -38,8 +38,8 @@
                 callerAddress,
                 readinessAddress,
                 metricsAddress,
+                snapshotAddress,
                 peerAddress,
-                noticeAddress,
                 other);
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/admin/AdminService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/admin/AdminService.java
@@ -57,7 +57,7 @@
     private final BooleanSupplier mReady;
     private final MeterBinder mMeters;
     private final OperatorPages mPages;
-    private final Optional<InetSocketAddress> mPeerAddress;
+    private final Optional<InetSocketAddress> mSnapshotAddress;
     private final Supplier<Optional<byte[]>> mSnapshot;
     private final List<Channel> mListeners = new ArrayList<>();
     private Optional<PrometheusMeterRegistry> mRegistry = Optional.empty();
@@ -70,7 +70,7 @@
         mReady = sources.ready();
         mMeters = sources.meters();
         mPages = sources.operatorPages();
-        mPeerAddress = addresses.peers();
+        mSnapshotAddress = addresses.snapshot();
         mSnapshot = sources.snapshot();
     }
 
@@ -78,7 +78,7 @@
     public record ListenAddresses(
             InetSocketAddress readiness,
             Optional<InetSocketAddress> metrics,
-            Optional<InetSocketAddress> peers) {}
+            Optional<InetSocketAddress> snapshot) {}
 
     /** Sources of the data to serve. Immutable. */
     public record DataSources(
@@ -103,7 +103,7 @@
         List<CompletableFuture<Void>> bound = new ArrayList<>();
         bound.add(listen(mReadinessAddress, this::handleReadiness));
         mMetricsAddress.ifPresent(a -> bound.add(listen(a, this::handleOperatorRequest)));
-        mPeerAddress.ifPresent(a -> bound.add(listen(a, this::handleSnapshot)));
+        mSnapshotAddress.ifPresent(a -> bound.add(listen(a, this::handleSnapshot)));
         return CompletableFuture.allOf(bound.toArray(new CompletableFuture<?>[0]));
     }
 
@@ -189,7 +189,7 @@
                         () ->
                                 text(
                                         HttpResponseStatus.SERVICE_UNAVAILABLE,
-                                        "knows nothing\n",
+                                        "no configuration or target list is available yet\n",
                                         "text/plain"));
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RetryBudgets.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RetryBudgets.java
@@ -12,7 +12,7 @@
     private static final double USED_SHARE = 0.9;
 
     private Bounds mBounds;
-    private final IntSupplier mRouters;
+    private final IntSupplier mRouterCount;
     private final Map<String, SlidingWindowRetryBudget> mByPool = new HashMap<>();
 
     /**
@@ -27,11 +27,11 @@
     /**
      * Creates the budgets.
      *
-     * @param routers supplies the number of routers that share the allowance
+     * @param routerCount supplies the number of routers that share the allowance
      */
-    RetryBudgets(Bounds bounds, IntSupplier routers) {
+    RetryBudgets(Bounds bounds, IntSupplier routerCount) {
         mBounds = bounds;
-        mRouters = routers;
+        mRouterCount = routerCount;
     }
 
     /** Replaces the limits. Counts are kept unless the window length changes. */
@@ -48,7 +48,7 @@
                 n ->
                         SlidingWindowRetryBudget.of(
                                 () -> mBounds.share() * USED_SHARE,
-                                () -> mBounds.allowance() / mRouters.getAsInt(),
+                                () -> mBounds.allowance() / mRouterCount.getAsInt(),
                                 mBounds.windowMillis()));
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
@@ -61,15 +61,12 @@
         ColdStart cold = coldStart(admission);
         List<Target> all = allowedTargets(admission);
         List<Target> admitted = mContext.coldStartLimiter().admissible(all, cold, now);
-        int resting = all.size() - admitted.size() + countResting(admitted, now);
+        int idle = all.size() - admitted.size() + countPaused(admitted, now);
         CandidateFilter.Candidates c =
                 mContext.selectors().candidateFilter().apply(admitted, mTried, now);
         PickRequest request =
                 new PickRequest(
-                        mKey,
-                        mSharedTokens,
-                        mContext.fleetState().shardTables().table(pool),
-                        resting);
+                        mKey, mSharedTokens, mContext.fleetState().shardTables().table(pool), idle);
         Optional<Pick> pick = picker(admission).pick(request, c.targets(), now);
         pick.ifPresent(p -> onPick(pool, p, cold, now));
         return pick;
@@ -81,7 +78,7 @@
         return mContext.selectors().homeRegions().allowed(pool, a.route(), a.team());
     }
 
-    private static int countResting(List<Target> targets, long now) {
+    private static int countPaused(List<Target> targets, long now) {
         int n = 0;
         for (Target t : targets) {
             n += t.isPaused(now) ? 1 : 0;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/FleetState.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/FleetState.java
@@ -419,7 +419,7 @@
                                 config(),
                                 targets().position(),
                                 entries,
-                                mRowFollower.known(),
+                                mRowFollower.rows(),
                                 mConfigFollower.evacuations())
                         .write());
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
@@ -94,7 +94,7 @@
         mClockEra = readAt.era();
     }
 
-    List<SharedRow> known() {
+    List<SharedRow> rows() {
         return mTable.rows();
     }
 
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
@@ -346,7 +346,7 @@
 
     /** Releases must reach other routers by messages during a store outage. */
     @Test
-    void routersTellEachOtherOfTheAnswerWithoutTheStore() throws Exception {
+    void routersExchangeReleasesWithoutTheStore() throws Exception {
         TestRouter other = router();
         mRows.mUnavailable = true;
         mRouter.quarantine(CONTENT);
@@ -359,9 +359,9 @@
         assertThat(other.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
     }
 
-    /** An answer wins against a row that arrives after it. */
+    /** An answer takes precedence over a row that arrives after it. */
     @Test
-    void aRowThatComesAfterTheAnswerIsReleased() throws Exception {
+    void aRowReceivedAfterTheAnswerIsReleased() throws Exception {
         TestRouter other = router();
         onLoop(() -> other.mQuarantine.onAnswered(CONTENT));
         mRouter.quarantine(CONTENT);
@@ -418,7 +418,7 @@
     }
 
     @Test
-    void aTrialThatEndsATargetDoublesTheTerm() throws Exception {
+    void aTrialThatCrashesATargetDoublesTheTerm() throws Exception {
         mRouter.quarantine(CONTENT);
         advanceClock(mRouter, TEN_MINUTES);
         mRouter.requestTrial(CONTENT);
@@ -466,7 +466,7 @@
 
     /** A router reads the quarantine rows at its start. */
     @Test
-    void aRouterThatHasJustStartedKnowsWhatIsRefused() throws Exception {
+    void aStartedRouterRefusesQuarantinedRequests() throws Exception {
         mRouter.quarantine(CONTENT);
         TestRouter started = new TestRouter();
         onLoop(started.mFollower::start);
