--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
@@ -21,9 +21,9 @@
 import org.forkseam.daemon.share.ConfigStore;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
-import org.forkseam.daemon.sidecar.CacheWatch;
+import org.forkseam.daemon.sidecar.CacheLifetimeEstimator;
+import org.forkseam.daemon.sidecar.ClaimManager;
 import org.forkseam.daemon.sidecar.ClaimStore;
-import org.forkseam.daemon.sidecar.Claims;
 import org.forkseam.daemon.sidecar.HttpTargetClient;
 import org.forkseam.daemon.sidecar.Sidecar;
 import org.forkseam.daemon.sidecar.SidecarCounters;
@@ -201,13 +201,13 @@
                         mSettings.integer(SettingKey.TARGET_CAPACITY),
                         mIncarnation,
                         mSettings.integer(SettingKey.ANSWERS_BYTES));
-        Sidecar.Parts parts =
-                new Sidecar.Parts(
+        Sidecar.Dependencies parts =
+                new Sidecar.Dependencies(
                         mFleet,
                         mSync,
                         mLinks,
                         HttpTargetClient.of(mLoop, mSettings.text(SettingKey.TARGET_URL)),
-                        Claims.of(ClaimStore.of(mLoop, mTable), target, mIncarnation),
+                        ClaimManager.of(ClaimStore.of(mLoop, mTable), target, mIncarnation),
                         cacheWatch(),
                         SidecarCounters.of(mRegistry));
         if (isEngine()) {
@@ -215,7 +215,7 @@
             mLinks.addSink(OrderDesk.of(mHttp, url, mTable, mSync::packet));
         }
         Sidecar s = Sidecar.of(mLoop, mClock, config, parts, mRandom);
-        mRegistry.gauge("forkseam.target.load", s, x -> x.gate().load());
+        mRegistry.gauge("forkseam.target.load", s, x -> x.admission().load());
         return s;
     }
 
@@ -224,12 +224,12 @@
     }
 
     /** Plain services have no cache and must see only what callers sent. */
-    private Optional<CacheWatch> cacheWatch() {
+    private Optional<CacheLifetimeEstimator> cacheWatch() {
         if (!isEngine()) {
             return Optional.empty();
         }
         String url = mSettings.text(SettingKey.TARGET_URL);
-        return Optional.of(CacheWatch.of(mLoop, mHttp, url, mClock));
+        return Optional.of(CacheLifetimeEstimator.of(mLoop, mHttp, url, mClock));
     }
 
     private AdminApi admin(DecisionLog decisions) {
@@ -310,7 +310,7 @@
     // ---------------------------------------------------------------- accessors
 
     private boolean isReady() {
-        return mRouter == null ? !mSidecar.gate().isLeaving() : mRouter.isReady();
+        return mRouter == null ? !mSidecar.admission().isLeaving() : mRouter.isReady();
     }
 
     private Map<String, Object> dump() {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
@@ -25,7 +25,7 @@
                 .handle((seen, e) -> e == null ? judge(seen, why) : why);
     }
 
-    private static Refused judge(Optional<ClaimStore.Seen> seen, Refused why) {
+    private static Refused judge(Optional<ClaimStore.VersionedClaim> seen, Refused why) {
         boolean ran = seen.isPresent() && seen.get().row().state() != ClaimRow.State.ABANDONED;
         boolean otherRequest = why.reason() == RefusalReason.ID_REUSED;
         return ran && !otherRequest
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestReader.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestReader.java
@@ -168,7 +168,7 @@
                             String name = e.getKey().toString();
                             boolean own =
                                     name.toLowerCase(Locale.ROOT).startsWith(CallerHeaders.PREFIX);
-                            if (!own && !HttpTargetClient.isHopHeader(name)) {
+                            if (!own && !HttpTargetClient.isHopByHopHeader(name)) {
                                 out.add(
                                         Header.newBuilder()
                                                 .setName(name)
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ClaimSweeper.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ClaimSweeper.java
@@ -86,7 +86,7 @@
         }
         mLease.tick();
         if (mLease.fence().isPresent()) {
-            mTable.scan(ClaimStore.PREFIX, mAfter, PAGE)
+            mTable.scan(ClaimStore.KEY_PREFIX, mAfter, PAGE)
                     .thenAccept(r -> mLoop.post(() -> sweep(r)));
         }
     }
@@ -101,7 +101,7 @@
     }
 
     private boolean isOver(Row row) {
-        long age = mClock.nowMillis() - ClaimStore.seen(row).row().atMillis();
+        long age = mClock.nowMillis() - ClaimStore.parse(row).row().atMillis();
         return age > ClaimRow.RETENTION_MILLIS + SLACK_MILLIS;
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Claims.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/ClaimManager.java
@@ -14,41 +14,41 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Claims unrepeatable requests for one sidecar, by the steps of {@link ClaimProtocol}. Used on the
- * event loop.
+ * Claims unrepeatable requests for one sidecar, following {@link ClaimProtocol}. Not thread-safe;
+ * used on the event loop.
  *
  * @since 0.1
  */
-public final class Claims {
-    private static final int NONCES_KEPT = 20_000;
+public final class ClaimManager {
+    private static final int MAX_TRACKED_NONCES = 20_000;
 
     private final ClaimStore mStore;
     private final String mTarget;
     private final long mIncarnation;
-    private final Map<String, OwnState> mOwn = BoundedMap.byInsertion(NONCES_KEPT);
+    private final Map<String, OwnState> mAttemptStates = BoundedMap.byInsertion(MAX_TRACKED_NONCES);
 
     /**
-     * Is how a try to claim ended.
+     * The result of an attempt to claim a request.
      *
-     * @param step one of the steps that end a try
-     * @param nonce of this try
-     * @param revision of the claimed row, for RUN
-     * @param seen the row seen last
+     * @param step the final step of the attempt
+     * @param nonce unique id of the attempt
+     * @param revision revision of the claimed row, set for {@link Step#RUN}
+     * @param lastRow the row as last read
      */
-    public record Result(Step step, String nonce, long revision, Optional<ClaimRow> seen) {}
+    public record Result(Step step, String nonce, long revision, Optional<ClaimRow> lastRow) {}
 
-    private Claims(ClaimStore store, String target, long incarnation) {
+    private ClaimManager(ClaimStore store, String target, long incarnation) {
         mStore = store;
         mTarget = target;
         mIncarnation = incarnation;
     }
 
-    /** Creates the claims of one incarnation of a target's sidecar. */
-    public static Claims of(ClaimStore store, String target, long incarnation) {
-        return new Claims(store, target, incarnation);
+    /** Creates the claim manager of one incarnation of a target's sidecar. */
+    public static ClaimManager of(ClaimStore store, String target, long incarnation) {
+        return new ClaimManager(store, target, incarnation);
     }
 
-    /** Tries to claim a request; the future never fails. */
+    /** Attempts to claim a request; the returned future never completes exceptionally. */
     public CompletableFuture<Result> claim(String key, String fingerprint) {
         String nonce = UUID.randomUUID().toString();
         ClaimRow row =
@@ -60,25 +60,29 @@
                         fingerprint,
                         "",
                         now());
-        mOwn.put(nonce, OwnState.ACTIVE);
-        Try t = new Try(key, ClaimProtocol.of(row, n -> mOwn.getOrDefault(n, OwnState.UNKNOWN)));
-        t.perform(t.mProtocol.start());
-        return t.mDone.whenComplete((r, e) -> settle(nonce, r));
+        mAttemptStates.put(nonce, OwnState.ACTIVE);
+        ClaimAttempt attempt =
+                new ClaimAttempt(
+                        key,
+                        ClaimProtocol.of(
+                                row, n -> mAttemptStates.getOrDefault(n, OwnState.UNKNOWN)));
+        attempt.perform(attempt.mProtocol.start());
+        return attempt.mResult.whenComplete((r, e) -> markAbandonedUnlessRun(nonce, r));
     }
 
     private static long now() {
         return System.currentTimeMillis();
     }
 
-    private void settle(String nonce, Result result) {
+    private void markAbandonedUnlessRun(String nonce, Result result) {
         if (result == null || result.step() != Step.RUN) {
-            mOwn.put(nonce, OwnState.ABANDONED);
+            mAttemptStates.put(nonce, OwnState.ABANDONED);
         }
     }
 
-    /** Notes that a claimed request was never handed over, and tells the table service. */
+    /** Marks a claimed request that was never sent to the target as abandoned. */
     public CompletableFuture<Void> abandon(String key, Result claimed, String fingerprint) {
-        mOwn.put(claimed.nonce(), OwnState.ABANDONED);
+        mAttemptStates.put(claimed.nonce(), OwnState.ABANDONED);
         ClaimRow row =
                 new ClaimRow(
                         ClaimRow.State.ABANDONED,
@@ -91,8 +95,8 @@
         return mStore.replace(key, row, claimed.revision()).thenApply(r -> null);
     }
 
-    /** Writes down that a request ran, with its answer. */
-    public CompletableFuture<TxnResult> done(
+    /** Marks a claimed request as done, and stores its response. */
+    public CompletableFuture<TxnResult> markDone(
             String key, Result claimed, String fingerprint, String answer) {
         ClaimRow row =
                 new ClaimRow(
@@ -106,27 +110,27 @@
         return mStore.replace(key, row, claimed.revision());
     }
 
-    /** Performs the steps of one try. */
-    private final class Try {
+    /** Executes the protocol steps of one attempt. */
+    private final class ClaimAttempt {
         private final String mKey;
         private final ClaimProtocol mProtocol;
-        private final CompletableFuture<Result> mDone = new CompletableFuture<>();
+        private final CompletableFuture<Result> mResult = new CompletableFuture<>();
         private long mRevision;
 
-        Try(String key, ClaimProtocol protocol) {
+        ClaimAttempt(String key, ClaimProtocol protocol) {
             mKey = key;
             mProtocol = protocol;
         }
 
         void perform(Step step) {
             switch (step) {
-                case INSERT -> mStore.insert(mKey, mProtocol.row()).thenAccept(this::onWritten);
+                case INSERT -> mStore.insert(mKey, mProtocol.row()).thenAccept(this::onWriteResult);
                 case REPLACE ->
                         mStore.replace(mKey, mProtocol.row(), mRevision)
-                                .thenAccept(this::onWritten);
-                case READ -> mStore.read(mKey).whenComplete(this::onRead);
+                                .thenAccept(this::onWriteResult);
+                case READ -> mStore.read(mKey).whenComplete(this::onReadResult);
                 default ->
-                        mDone.complete(
+                        mResult.complete(
                                 new Result(
                                         step,
                                         mProtocol.row().nonce(),
@@ -135,30 +139,30 @@
             }
         }
 
-        private void onWritten(TxnResult result) {
+        private void onWriteResult(TxnResult result) {
             if (result instanceof TxnResult.Applied a) {
                 mRevision = a.revision();
                 perform(mProtocol.onApplied());
             } else if (result instanceof TxnResult.Conflict c) {
-                Optional<ClaimStore.Seen> seen =
+                Optional<ClaimStore.VersionedClaim> current =
                         c.rows().stream()
                                 .filter((Row r) -> r.key().equals(mKey))
                                 .findFirst()
-                                .map(ClaimStore::seen);
-                seen.ifPresent(s -> mRevision = s.revision());
-                perform(mProtocol.onConflict(seen.map(ClaimStore.Seen::row)));
+                                .map(ClaimStore::parse);
+                current.ifPresent(s -> mRevision = s.revision());
+                perform(mProtocol.onConflict(current.map(ClaimStore.VersionedClaim::row)));
             } else {
                 perform(mProtocol.onUnknown());
             }
         }
 
-        private void onRead(Optional<ClaimStore.Seen> seen, Throwable e) {
+        private void onReadResult(Optional<ClaimStore.VersionedClaim> current, Throwable e) {
             if (e != null) {
                 perform(mProtocol.onReadFailed());
                 return;
             }
-            seen.ifPresent(s -> mRevision = s.revision());
-            perform(mProtocol.onRead(seen.map(ClaimStore.Seen::row)));
+            current.ifPresent(s -> mRevision = s.revision());
+            perform(mProtocol.onRead(current.map(ClaimStore.VersionedClaim::row)));
         }
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/ClaimStore.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/ClaimStore.java
@@ -20,116 +20,116 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Writes and reads claims in the table service, several writes to one transaction.
+ * Reads and writes claims in the table service, batching writes into transactions.
  *
- * <p>Writes that come within a few milliseconds go together. If one of them conflicts, the whole
- * transaction had no effect and each is sent on its own. Used on the event loop.
+ * <p>If one write of a batch conflicts, the whole transaction is rolled back and each write is
+ * retried in a transaction of its own. Not thread-safe; used on the event loop.
  *
  * @since 0.1
  */
 public final class ClaimStore {
-    /** What the keys of all claims start with. */
-    public static final String PREFIX = "claim/";
+    /** Prefix of the row keys of all claims. */
+    public static final String KEY_PREFIX = "claim/";
 
-    private static final long GROUP_MILLIS = 2;
-    private static final int MAX_GROUP = 64;
+    private static final long BATCH_DELAY_MILLIS = 2;
+    private static final int MAX_BATCH_SIZE = 64;
     private static final ObjectMapper JSON =
             new ObjectMapper().configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
 
     private final Eventloop mLoop;
     private final TableService mTable;
-    private List<Pending> mGroup = new ArrayList<>();
+    private List<PendingWrite> mBatch = new ArrayList<>();
 
-    /** Holds a write that waits for its group. */
-    private record Pending(Write write, CompletableFuture<TxnResult> done) {}
+    /** A write queued for the next batch. */
+    private record PendingWrite(Write write, CompletableFuture<TxnResult> result) {}
 
     /**
-     * Holds a claim with the revision of its row.
+     * A claim with the revision of its row.
      *
      * @param row the claim
-     * @param revision for the next compare-and-set
+     * @param revision expected revision for the next compare-and-set
      */
-    public record Seen(ClaimRow row, long revision) {}
+    public record VersionedClaim(ClaimRow row, long revision) {}
 
     private ClaimStore(Eventloop loop, TableService table) {
         mLoop = loop;
         mTable = table;
     }
 
-    /** Creates a store over the table service. */
+    /** Creates a store backed by the table service. */
     public static ClaimStore of(Eventloop loop, TableService table) {
         return new ClaimStore(loop, table);
     }
 
-    /** Returns the row's key of a team's request. */
+    /** Returns the row key of a team's request. */
     public static String key(String team, String requestId) {
-        return PREFIX + team + "/" + requestId;
+        return KEY_PREFIX + team + "/" + requestId;
     }
 
-    /** Inserts a claim if there is none. */
+    /** Inserts a claim if its row does not exist. */
     public CompletableFuture<TxnResult> insert(String key, ClaimRow row) {
-        return write(Write.insert(key, text(row)));
+        return enqueue(Write.insert(key, toJson(row)));
     }
 
-    /** Replaces a claim if its row has the revision. */
+    /** Replaces a claim if its row still has the given revision. */
     public CompletableFuture<TxnResult> replace(String key, ClaimRow row, long revision) {
-        return write(Write.replace(key, text(row), revision));
+        return enqueue(Write.replace(key, toJson(row), revision));
     }
 
     /** Reads a claim. */
-    public CompletableFuture<Optional<Seen>> read(String key) {
-        return mTable.get(key).thenApply(r -> r.map(ClaimStore::seen));
+    public CompletableFuture<Optional<VersionedClaim>> read(String key) {
+        return mTable.get(key).thenApply(r -> r.map(ClaimStore::parse));
     }
 
-    /** Reads a claim out of a row. */
-    public static Seen seen(Row row) {
+    /** Parses a claim from a row. */
+    public static VersionedClaim parse(Row row) {
         try {
-            return new Seen(JSON.readValue(row.value(), ClaimRow.class), row.revision());
+            return new VersionedClaim(JSON.readValue(row.value(), ClaimRow.class), row.revision());
         } catch (IOException e) {
-            throw new UncheckedIOException("claim " + row.key() + " cannot be read", e);
+            throw new UncheckedIOException("malformed claim in row " + row.key(), e);
         }
     }
 
-    private static String text(ClaimRow row) {
+    private static String toJson(ClaimRow row) {
         try {
             return JSON.writeValueAsString(row);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a claim can always be written", e);
+            throw new IllegalStateException("claim cannot be serialized", e);
         }
     }
 
-    // ---------------------------------------------------------------- grouping
+    // ---------------------------------------------------------------- batching
 
-    private CompletableFuture<TxnResult> write(Write write) {
-        boolean sameKey = mGroup.stream().anyMatch(p -> p.write().key().equals(write.key()));
-        if (sameKey || mGroup.size() >= MAX_GROUP) {
+    private CompletableFuture<TxnResult> enqueue(Write write) {
+        boolean sameKey = mBatch.stream().anyMatch(p -> p.write().key().equals(write.key()));
+        if (sameKey || mBatch.size() >= MAX_BATCH_SIZE) {
             flush();
         }
-        CompletableFuture<TxnResult> done = new CompletableFuture<>();
-        mGroup.add(new Pending(write, done));
-        if (mGroup.size() == 1) {
-            mLoop.delay(GROUP_MILLIS, this::flush);
+        CompletableFuture<TxnResult> result = new CompletableFuture<>();
+        mBatch.add(new PendingWrite(write, result));
+        if (mBatch.size() == 1) {
+            mLoop.delay(BATCH_DELAY_MILLIS, this::flush);
         }
-        return done;
+        return result;
     }
 
     private void flush() {
-        List<Pending> group = mGroup;
-        if (group.isEmpty()) {
+        List<PendingWrite> batch = mBatch;
+        if (batch.isEmpty()) {
             return;
         }
-        mGroup = new ArrayList<>();
-        mTable.transact(group.stream().map(Pending::write).toList())
-                .thenAccept(r -> onGroupDone(group, r));
+        mBatch = new ArrayList<>();
+        mTable.transact(batch.stream().map(PendingWrite::write).toList())
+                .thenAccept(r -> onBatchResult(batch, r));
     }
 
-    private void onGroupDone(List<Pending> group, TxnResult result) {
-        if (group.size() > 1 && result instanceof TxnResult.Conflict) {
-            for (Pending p : group) {
-                mTable.transact(List.of(p.write())).thenAccept(p.done()::complete);
+    private void onBatchResult(List<PendingWrite> batch, TxnResult result) {
+        if (batch.size() > 1 && result instanceof TxnResult.Conflict) {
+            for (PendingWrite p : batch) {
+                mTable.transact(List.of(p.write())).thenAccept(p.result()::complete);
             }
             return;
         }
-        group.forEach(p -> p.done().complete(result));
+        batch.forEach(p -> p.result().complete(result));
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Exchange.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Exchange.java
@@ -13,43 +13,43 @@
 import java.util.Optional;
 
 /**
- * Is one request at its target: waiting, claimed, running, or ended with its answer kept.
+ * One request to the target, together with its buffered response.
  *
- * <p>Several viewers may follow one answer, each at its own pace; while the slowest is far behind,
- * no more is read from the target. The state only moves forward. Not thread-safe; used on the event
- * loop.
+ * <p>Several subscribers may read the response, each at its own pace. Reading from the target
+ * pauses while the slowest subscriber has too much unsent data. State transitions are monotonic.
+ * Not thread-safe; used on the event loop.
  */
 final class Exchange implements TargetClient.Listener {
-    /** Says how far a request has come. */
+    /** Lifecycle state of a request. */
     enum State {
-        /** It waits for its turn or its claim; nothing was handed over. */
+        /** Queued or waiting for its claim; not yet sent to the target. */
         WAITING,
-        /** It was handed over. */
+        /** Sent to the target. */
         RUNNING,
-        /** The answer is whole. */
+        /** Ended with a complete response. */
         WHOLE,
-        /** It ended without a whole answer, before or after it was handed over. */
+        /** Ended without a complete response, whether or not it was sent. */
         OVER
     }
 
-    /** Is told what the exchange's owner must act upon. */
+    /** Handles the events on which the exchange's owner must act. */
     interface Owner {
-        /** Receives that the request ended, in whatever way. */
+        /** Called when the request has ended, successfully or not. */
         void onEnded(Exchange exchange);
 
-        /** Receives the refusal of a request that nobody runs. */
+        /** Called when the request could not be sent to the target. */
         void onNotSent(Exchange exchange, Exception cause);
     }
 
-    private static final int SERVER_ERROR = 500;
-    private static final int HELD_BYTES = 256 << 10;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
+    private static final int MAX_UNSENT_BYTES = 256 << 10;
 
     private final Submit mRequest;
     private final Owner mOwner;
     private final long mArrivedMillis;
     private final AnswerBuffer mBuffer;
-    private final SseSplitter mEvents = new SseSplitter();
-    private final List<Viewer> mViewers = new ArrayList<>();
+    private final SseSplitter mEventSplitter = new SseSplitter();
+    private final List<StreamSubscriber> mSubscribers = new ArrayList<>();
     private final long mResumedFrom;
     private State mState = State.WAITING;
     private TargetClient.Call mCall;
@@ -57,13 +57,13 @@
     private List<Header> mHeaders = List.of();
     private boolean mIsEventStream;
     private boolean mReplayed;
-    private Usage mUsage = new Usage(0, 0);
-    private Optional<Refused> mRefused = Optional.empty();
-    private Optional<Claims.Result> mClaim = Optional.empty();
+    private TokenUsage mUsage = new TokenUsage(0, 0);
+    private Optional<Refused> mRefusal = Optional.empty();
+    private Optional<ClaimManager.Result> mClaim = Optional.empty();
     private long mStartedMillis;
 
-    Exchange(Submit request, Owner owner, long nowMillis, int keptBytes) {
-        this(request, owner, nowMillis, AnswerBuffer.of(keptBytes), -1);
+    Exchange(Submit request, Owner owner, long nowMillis, int maxBufferBytes) {
+        this(request, owner, nowMillis, AnswerBuffer.of(maxBufferBytes), -1);
     }
 
     private Exchange(
@@ -75,10 +75,10 @@
         mResumedFrom = resumedFrom;
     }
 
-    /** Creates an exchange that goes on with an engine's stream after a restart of the sidecar. */
-    static Exchange resumed(
-            Submit request, Owner owner, long nowMillis, int keptBytes, long fromSequence) {
-        AnswerBuffer b = AnswerBuffer.from(fromSequence, keptBytes);
+    /** Creates an exchange that resumes an engine's stream after a restart of the sidecar. */
+    static Exchange createResumed(
+            Submit request, Owner owner, long nowMillis, int maxBufferBytes, long fromSequence) {
+        AnswerBuffer b = AnswerBuffer.from(fromSequence, maxBufferBytes);
         return new Exchange(request, owner, nowMillis, b, fromSequence);
     }
 
@@ -116,7 +116,7 @@
         return mResumedFrom;
     }
 
-    Usage usage() {
+    TokenUsage usage() {
         return mUsage;
     }
 
@@ -124,31 +124,31 @@
         return mBuffer;
     }
 
-    Optional<Refused> refused() {
-        return mRefused;
+    Optional<Refused> refusal() {
+        return mRefusal;
     }
 
-    Optional<Claims.Result> claim() {
+    Optional<ClaimManager.Result> claim() {
         return mClaim;
     }
 
-    void setClaim(Claims.Result claim) {
+    void setClaim(ClaimManager.Result claim) {
         mClaim = Optional.of(claim);
     }
 
-    void dropClaim() {
+    void clearClaim() {
         mClaim = Optional.empty();
     }
 
-    List<Viewer> viewers() {
-        return mViewers;
+    List<StreamSubscriber> subscribers() {
+        return mSubscribers;
     }
 
-    boolean isOver() {
+    boolean isEnded() {
         return mState == State.WHOLE || mState == State.OVER;
     }
 
-    /** Returns the whole answer's frames, if all are still kept. */
+    /** Returns all frames of a complete response, if they are still buffered. */
     Optional<List<byte[]>> frames() {
         if (mState != State.WHOLE || !mBuffer.has(0)) {
             return Optional.empty();
@@ -160,11 +160,11 @@
         return Optional.of(out);
     }
 
-    // ---------------------------------------------------------------- life-cycle
+    // ---------------------------------------------------------------- lifecycle
 
-    /** Hands the request over. From here on it may have run. */
-    void run(TargetClient target, long nowMillis) {
-        start(nowMillis);
+    /** Sends the request to the target. From here on it may have run. */
+    void send(TargetClient target, long nowMillis) {
+        markRunning(nowMillis);
         mCall =
                 target.send(
                         new TargetClient.Request(
@@ -176,34 +176,34 @@
                         this);
     }
 
-    /** Takes the engine's stream up where a former sidecar left it. */
-    void runResumed(TargetClient target, long nowMillis) {
-        start(nowMillis);
+    /** Resumes the engine's stream at the sequence where the previous sidecar stopped. */
+    void resume(TargetClient target, long nowMillis) {
+        markRunning(nowMillis);
         mCall = target.resume(mRequest.getAttemptKey(), mResumedFrom, this);
     }
 
-    private void start(long nowMillis) {
+    private void markRunning(long nowMillis) {
         mState = State.RUNNING;
         mStartedMillis = nowMillis;
     }
 
-    /** Fills the exchange with an answer that is kept elsewhere. */
-    void replay(StoredAnswer answer, long nowMillis) {
+    /** Completes the exchange with a stored response. */
+    void replay(StoredResponse response, long nowMillis) {
         mReplayed = true;
         mStartedMillis = nowMillis;
-        mStatus = answer.status();
-        mHeaders = answer.toHeaders();
-        answer.frames().forEach(mBuffer::append);
+        mStatus = response.status();
+        mHeaders = response.toHeaders();
+        response.frames().forEach(mBuffer::append);
         mBuffer.end();
         end(State.WHOLE);
     }
 
-    /** Ends the request without an answer. */
+    /** Ends the request without a response, unless it has ended already. */
     void refuse(Refused refused) {
-        if (isOver()) {
+        if (isEnded()) {
             return;
         }
-        mRefused = Optional.of(refused);
+        mRefusal = Optional.of(refused);
         if (mCall != null) {
             mCall.close();
         }
@@ -213,37 +213,43 @@
     private void end(State state) {
         mState = state;
         mOwner.onEnded(this);
-        pump();
+        flush();
     }
 
-    // ---------------------------------------------------------------- viewers
+    // ---------------------------------------------------------------- subscribers
 
-    void addViewer(Viewer viewer) {
-        mViewers.add(viewer);
-        pump();
+    void addSubscriber(StreamSubscriber subscriber) {
+        mSubscribers.add(subscriber);
+        flush();
     }
 
-    void removeViewer(Viewer viewer) {
-        mViewers.remove(viewer);
-        pump();
+    void removeSubscriber(StreamSubscriber subscriber) {
+        mSubscribers.remove(subscriber);
+        flush();
     }
 
-    /** Sends viewers what they may have, and reads on while none is far behind. */
-    void pump() {
-        long acked = Long.MAX_VALUE;
-        int held = 0;
-        for (Viewer v : List.copyOf(mViewers)) {
-            v.pump(this);
-            acked = Math.min(acked, v.acked());
-            held = Math.max(held, v.heldBytes(this));
+    /**
+     * Sends buffered data to all subscribers within their credit, and pauses or resumes reading
+     * from the target.
+     */
+    void flush() {
+        long minAcked = Long.MAX_VALUE;
+        int maxUnsent = 0;
+        for (StreamSubscriber s : List.copyOf(mSubscribers)) {
+            s.flush(this);
+            minAcked = Math.min(minAcked, s.ackedSequence());
+            maxUnsent = Math.max(maxUnsent, s.unsentBytes(this));
         }
-        if (!mViewers.isEmpty()) {
-            mBuffer.ack(acked);
+        if (!mSubscribers.isEmpty()) {
+            mBuffer.ack(minAcked);
         }
-        mViewers.removeIf(Viewer::isDone);
-        if (mCall != null && !isOver()) {
-            boolean room = mViewers.isEmpty() ? mBuffer.bytes() < HELD_BYTES : held < HELD_BYTES;
-            mCall.setReading(room);
+        mSubscribers.removeIf(StreamSubscriber::isDone);
+        if (mCall != null && !isEnded()) {
+            boolean hasCapacity =
+                    mSubscribers.isEmpty()
+                            ? mBuffer.bytes() < MAX_UNSENT_BYTES
+                            : maxUnsent < MAX_UNSENT_BYTES;
+            mCall.setReading(hasCapacity);
         }
     }
 
@@ -251,9 +257,11 @@
 
     @Override
     public void onHead(int status, List<Header> headers) {
-        if (mRequest.getChat() && status >= SERVER_ERROR) {
-            // An engine that fails at once has answered nothing: another may.
-            refuse(Refused.failed(RefusalReason.BROKEN_ANSWER, "engine's status " + status));
+        if (mRequest.getChat() && status >= MIN_SERVER_ERROR_STATUS) {
+            // Nothing was forwarded to subscribers yet, so the request can be retried elsewhere.
+            refuse(
+                    Refused.failed(
+                            RefusalReason.BROKEN_ANSWER, "engine responded with status " + status));
             return;
         }
         mStatus = status;
@@ -262,21 +270,21 @@
                 mRequest.getChat()
                         && headers.stream()
                                 .anyMatch(h -> h.getValue().startsWith("text/event-stream"));
-        pump();
+        flush();
     }
 
     @Override
     public void onData(byte[] data) {
         if (mIsEventStream) {
-            mEvents.add(data).forEach(this::onEvent);
+            mEventSplitter.feed(data).forEach(this::onEvent);
         } else {
             mBuffer.append(data);
         }
-        pump();
+        flush();
     }
 
     private void onEvent(byte[] event) {
-        Optional<Usage> usage = Usage.ofEvent(event);
+        Optional<TokenUsage> usage = TokenUsage.parseEvent(event);
         usage.ifPresent(u -> mUsage = u);
         if (usage.isEmpty() || !mRequest.getStripUsage()) {
             mBuffer.append(event);
@@ -285,23 +293,23 @@
 
     @Override
     public void onEnd() {
-        byte[] rest = mEvents.rest();
-        if (rest.length > 0) {
-            mBuffer.append(rest);
+        byte[] remainder = mEventSplitter.remainder();
+        if (remainder.length > 0) {
+            mBuffer.append(remainder);
         }
         if (mRequest.getChat() && !mIsEventStream && mBuffer.has(0)) {
-            readUsage();
+            parseUsage();
         }
         mBuffer.end();
         end(State.WHOLE);
     }
 
-    private void readUsage() {
+    private void parseUsage() {
         StringBuilder sb = new StringBuilder();
         for (long i = 0; i < mBuffer.frameCount(); i++) {
             sb.append(new String(mBuffer.frame(i), StandardCharsets.UTF_8));
         }
-        Usage.ofJson(sb.toString()).ifPresent(u -> mUsage = u);
+        TokenUsage.parseJson(sb.toString()).ifPresent(u -> mUsage = u);
     }
 
     @Override
@@ -310,10 +318,10 @@
     }
 
     @Override
-    public void onBroken(Exception cause) {
-        boolean began = mStatus != 0;
-        OutcomeKind kind = began ? OutcomeKind.FAILED : OutcomeKind.MAY_HAVE_RUN;
-        mRefused =
+    public void onFailed(Exception cause) {
+        boolean responseStarted = mStatus != 0;
+        OutcomeKind kind = responseStarted ? OutcomeKind.FAILED : OutcomeKind.MAY_HAVE_RUN;
+        mRefusal =
                 Optional.of(
                         new Refused(kind, RefusalReason.BROKEN_ANSWER, 0, "", cause.toString()));
         end(State.OVER);
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/HttpTargetClient.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/HttpTargetClient.java
@@ -22,20 +22,21 @@
 import java.util.Set;
 
 /**
- * Speaks HTTP to an engine or a plain service. Engines' streams are resumed and cancelled by the
- * paths of the OpenAI Responses protocol.
+ * Sends requests over HTTP to an engine or a plain service. Streams of engines are resumed and
+ * cancelled through the endpoints of the OpenAI Responses API. Not thread-safe; used on the event
+ * loop.
  *
  * @since 0.1
  */
 public final class HttpTargetClient implements TargetClient {
-    /** Header that carries the id under which the target knows a request. */
-    public static final String ID_HEADER = "X-Request-Id";
+    /** Header that carries the request's id to the target. */
+    public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
     private static final Logger LOG = LoggerFactory.getLogger(HttpTargetClient.class);
-    private static final Set<String> HOP_HEADERS =
+    private static final Set<String> HOP_BY_HOP_HEADERS =
             Set.of("connection", "content-length", "host", "keep-alive", "transfer-encoding");
-    private static final Duration CONNECT = Duration.ofSeconds(1);
-    private static final Duration KEEP_ALIVE = Duration.ofSeconds(5);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration KEEP_ALIVE_TIMEOUT = Duration.ofSeconds(5);
 
     private final HttpClient mClient;
     private final String mUrl;
@@ -44,12 +45,12 @@
         mUrl = url;
         mClient =
                 HttpClient.builder(loop, new NoDns())
-                        .withConnectTimeout(CONNECT)
-                        .withKeepAliveTimeout(KEEP_ALIVE)
+                        .withConnectTimeout(CONNECT_TIMEOUT)
+                        .withKeepAliveTimeout(KEEP_ALIVE_TIMEOUT)
                         .build();
     }
 
-    /** Creates a client of the target at a base URL. */
+    /** Creates a client for the target at a base URL. */
     public static HttpTargetClient of(Eventloop loop, String url) {
         return new HttpTargetClient(loop, url);
     }
@@ -58,9 +59,9 @@
     public Call send(Request r, Listener listener) {
         HttpRequest.Builder b =
                 HttpRequest.builder(HttpMethod.valueOf(r.method()), mUrl + r.path())
-                        .withHeader(HttpHeaders.of(ID_HEADER), r.id());
+                        .withHeader(HttpHeaders.of(REQUEST_ID_HEADER), r.id());
         for (Header h : r.headers()) {
-            if (!isHopHeader(h.getName())) {
+            if (!isHopByHopHeader(h.getName())) {
                 b.withHeader(HttpHeaders.of(h.getName()), h.getValue());
             }
         }
@@ -82,17 +83,17 @@
                 .whenException(e -> LOG.debug("event=cancel-failed id={}", id, e));
     }
 
-    /** Returns whether a header belongs to one connection and must not be passed on. */
-    public static boolean isHopHeader(String name) {
-        return HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT));
+    /** Returns whether a header is hop-by-hop and must not be forwarded. */
+    public static boolean isHopByHopHeader(String name) {
+        return HOP_BY_HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT));
     }
 
-    /** Is one exchange over HTTP. */
+    /** One HTTP request and its response. */
     private final class HttpCall implements Call {
         private final Listener mListener;
         private ChannelSupplier<ByteBuf> mBody;
         private boolean mReading = true;
-        private boolean mWaiting;
+        private boolean mReadPending;
         private boolean mClosed;
 
         HttpCall(Listener listener) {
@@ -114,7 +115,7 @@
                 mBody.close();
                 return;
             }
-            mListener.onHead(response.getCode(), headers(response));
+            mListener.onHead(response.getCode(), endToEndHeaders(response));
             read();
         }
 
@@ -123,15 +124,15 @@
                 return;
             }
             mClosed = true;
-            // Only a connection that could not be opened proves that nothing was handed over.
-            if (mBody == null && isRefused(e)) {
+            // Only a failure to connect proves that the target did not receive the request.
+            if (mBody == null && isConnectFailure(e)) {
                 mListener.onNotSent(e);
             } else {
-                mListener.onBroken(e);
+                mListener.onFailed(e);
             }
         }
 
-        private static boolean isRefused(Throwable e) {
+        private static boolean isConnectFailure(Throwable e) {
             for (Throwable t = e; t != null; t = t.getCause()) {
                 if (t instanceof ConnectException) {
                     return true;
@@ -141,15 +142,15 @@
         }
 
         private void read() {
-            if (mBody == null || mWaiting || !mReading || mClosed) {
+            if (mBody == null || mReadPending || !mReading || mClosed) {
                 return;
             }
-            mWaiting = true;
-            mBody.get().subscribe(this::onBuf);
+            mReadPending = true;
+            mBody.get().subscribe(this::onBuffer);
         }
 
-        private void onBuf(ByteBuf buf, Exception e) {
-            mWaiting = false;
+        private void onBuffer(ByteBuf buf, Exception e) {
+            mReadPending = false;
             if (mClosed) {
                 if (buf != null) {
                     buf.recycle();
@@ -184,13 +185,13 @@
         }
     }
 
-    private static List<Header> headers(HttpResponse response) {
+    private static List<Header> endToEndHeaders(HttpResponse response) {
         List<Header> out = new ArrayList<>();
         response.getHeaders()
                 .forEach(
                         e -> {
                             String name = e.getKey().toString();
-                            if (!isHopHeader(name)) {
+                            if (!isHopByHopHeader(name)) {
                                 String value = e.getValue().toString();
                                 out.add(Header.newBuilder().setName(name).setValue(value).build());
                             }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/QuotaHome.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/QuotaCoordinator.java
@@ -13,14 +13,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Divides the quotas of the teams that are hot and hash to this target. Used on the event loop. */
-final class QuotaHome implements PacketSink {
+/**
+ * Splits the quotas of heavily used teams that hash to this target among the routers that report
+ * demand. Not thread-safe; used on the event loop.
+ */
+final class QuotaCoordinator implements PacketSink {
     private final Fleet mFleet;
     private final FleetSync mSync;
     private final Clock mClock;
-    private final Map<String, QuotaShares> mTeams = new HashMap<>();
+    private final Map<String, QuotaShares> mSharesByTeam = new HashMap<>();
 
-    QuotaHome(Fleet fleet, FleetSync sync, Clock clock) {
+    QuotaCoordinator(Fleet fleet, FleetSync sync, Clock clock) {
         mFleet = fleet;
         mSync = sync;
         mClock = clock;
@@ -34,7 +37,8 @@
         QuotaReport r = p.getQuotaReport();
         double quota = mFleet.config().team(r.getTeam()).requestsPerSecond();
         double rate =
-                mTeams.computeIfAbsent(r.getTeam(), k -> new QuotaShares())
+                mSharesByTeam
+                        .computeIfAbsent(r.getTeam(), k -> new QuotaShares())
                         .report(
                                 link.peer().getHost(),
                                 r.getDemand(),
@@ -47,6 +51,6 @@
 
     @Override
     public void onClosed(Link link) {
-        // Reports run out by themselves.
+        // Demand reports expire on their own.
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
@@ -38,22 +38,22 @@
 import java.util.stream.Collectors;
 
 /**
- * Is the only way to one target: it lets requests in, hands them over once, and keeps their
- * answers.
+ * Proxy through which all requests reach one target: it admits requests, sends each to the target
+ * once, and buffers the responses.
  *
- * <p>A refusal of kind NOT_RUN leaves here only for a request that was not handed over. All state
- * is on the event loop.
+ * <p>A refusal of kind NOT_RUN is sent only if the request never reached the target. All state is
+ * confined to the event loop.
  *
  * @since 0.1
  */
 public final class Sidecar
-        implements Service, PacketSink, Exchange.Owner, TargetGate.Starter<Exchange> {
+        implements Service, PacketSink, Exchange.Owner, AdmissionController.Listener<Exchange> {
     /** Name of the service. */
     public static final String NAME = "sidecar";
 
     private static final Logger LOG = LoggerFactory.getLogger(Sidecar.class);
-    private static final long TICK_MILLIS = 50;
-    private static final long ALIVE_MILLIS = 1_000;
+    private static final long TICK_INTERVAL_MILLIS = 50;
+    private static final long KEEP_ALIVE_INTERVAL_MILLIS = 1_000;
 
     private final Eventloop mLoop;
     private final Clock mClock;
@@ -62,69 +62,82 @@
     private final FleetSync mSync;
     private final Links mLinks;
     private final TargetClient mTarget;
-    private final UnrepeatableRuns mUnrepeatable;
-    private final Optional<CacheWatch> mCache;
-    private final TargetGate<Exchange> mGate;
-    private final AnswerKeeper mKeeper;
+    private final UnrepeatableExecutor mUnrepeatableExecutor;
+    private final Optional<CacheLifetimeEstimator> mCacheLifetime;
+    private final AdmissionController<Exchange> mAdmission;
+    private final ExchangeRegistry mExchanges;
     private final DecisionLog mDecisions;
-    private final DigestCarrier mDigests;
-    private final Map<Link, Map<Long, Attached>> mStreams = new HashMap<>();
-    private final Viewer.Voice mVoice;
+    private final DigestCarrier mDigestCarrier;
+    private final Map<Link, Map<Long, Subscription>> mSubscriptions = new HashMap<>();
+    private final StreamSubscriber.SidecarStatus mStatus;
     private final Ticker mTicker;
     private final SidecarCounters mCounters;
     private CompletableFuture<Void> mDrained;
 
     /**
-     * Holds what a sidecar is told about itself.
+     * Configuration of a sidecar.
      *
      * @param target the target's name
-     * @param capacity requests it runs at once
-     * @param incarnation of this process
-     * @param keptBytes answers kept to be sent again
+     * @param capacity maximum number of concurrent requests at the target
+     * @param incarnation incarnation of this process
+     * @param maxRetainedBytes limit on ended exchanges retained for replay; one response may buffer
+     *     a quarter of it
      */
-    public record Config(String target, int capacity, long incarnation, int keptBytes) {}
+    public record Config(String target, int capacity, long incarnation, int maxRetainedBytes) {}
 
-    /** Holds the services a sidecar works with. */
-    public record Parts(
+    /** Services that a sidecar uses. */
+    public record Dependencies(
             Fleet fleet,
             FleetSync sync,
             Links links,
             TargetClient target,
-            Claims claims,
-            Optional<CacheWatch> cache,
+            ClaimManager claims,
+            Optional<CacheLifetimeEstimator> cacheLifetime,
             SidecarCounters counters) {}
 
-    /** Joins an exchange with the viewer that follows it on one stream. */
-    private record Attached(Exchange exchange, Viewer viewer) {}
+    /** An exchange and the subscriber that reads it on one stream. */
+    private record Subscription(Exchange exchange, StreamSubscriber subscriber) {}
 
     private Sidecar(
-            Eventloop loop, Clock clock, Config config, Parts parts, RandomGenerator random) {
+            Eventloop loop,
+            Clock clock,
+            Config config,
+            Dependencies dependencies,
+            RandomGenerator random) {
         mLoop = loop;
         mClock = clock;
         mConfig = config;
-        mFleet = parts.fleet();
-        mSync = parts.sync();
-        mLinks = parts.links();
-        mTarget = parts.target();
-        mCache = parts.cache();
-        mCounters = parts.counters();
-        mGate = TargetGate.of(config.target(), config.capacity(), clock, random, this);
-        mUnrepeatable =
-                new UnrepeatableRuns(loop, clock, parts.claims(), mTarget, mGate, mCounters);
-        mKeeper = AnswerKeeper.of(config.keptBytes());
+        mFleet = dependencies.fleet();
+        mSync = dependencies.sync();
+        mLinks = dependencies.links();
+        mTarget = dependencies.target();
+        mCacheLifetime = dependencies.cacheLifetime();
+        mCounters = dependencies.counters();
+        mAdmission =
+                AdmissionController.of(config.target(), config.capacity(), clock, random, this);
+        mUnrepeatableExecutor =
+                new UnrepeatableExecutor(
+                        loop, clock, dependencies.claims(), mTarget, mAdmission, mCounters);
+        mExchanges = ExchangeRegistry.of(config.maxRetainedBytes());
         mDecisions = DecisionLog.of(DecisionLog.DEFAULT_SIZE);
-        mDigests = DigestCarrier.of(mFleet, clock, random);
-        mVoice = new Viewer.Voice(mSync::packet, this::ownDigest, this::cacheLifetime);
-        mTicker = Ticker.of(loop, () -> TICK_MILLIS, this::tick);
+        mDigestCarrier = DigestCarrier.of(mFleet, clock, random);
+        mStatus =
+                new StreamSubscriber.SidecarStatus(
+                        mSync::packet, this::loadDigests, this::cacheLifetimeMillis);
+        mTicker = Ticker.of(loop, () -> TICK_INTERVAL_MILLIS, this::tick);
     }
 
     /** Creates the sidecar of one target. */
     public static Sidecar of(
-            Eventloop loop, Clock clock, Config config, Parts parts, RandomGenerator random) {
-        return new Sidecar(loop, clock, config, parts, random);
+            Eventloop loop,
+            Clock clock,
+            Config config,
+            Dependencies dependencies,
+            RandomGenerator random) {
+        return new Sidecar(loop, clock, config, dependencies, random);
     }
 
-    // ---------------------------------------------------------------- life-cycle
+    // ---------------------------------------------------------------- lifecycle
 
     @Override
     public String name() {
@@ -142,19 +155,19 @@
         mLoop.execute(
                 () -> {
                     mLinks.addSink(this);
-                    mLinks.addSink(new QuotaHome(mFleet, mSync, mClock));
+                    mLinks.addSink(new QuotaCoordinator(mFleet, mSync, mClock));
                     mSync.setDecisions(mDecisions);
-                    mSync.setOwnDigest(() -> Optional.of(mGate.digest()));
+                    mSync.setOwnDigest(() -> Optional.of(mAdmission.digest()));
                     mFleet.addListener(this::onFleetChanged);
                     onFleetChanged();
                     started.complete(null);
                 });
         mTicker.start();
-        mCache.ifPresent(CacheWatch::start);
+        mCacheLifetime.ifPresent(CacheLifetimeEstimator::start);
         return started;
     }
 
-    /** Takes no new work from this instant, and completes when what runs has ended. */
+    /** Starts draining, and completes when all requests and streams have ended. */
     @Override
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> drained = new CompletableFuture<>();
@@ -162,37 +175,37 @@
                 () -> {
                     mDrained = drained;
                     setLeaving(true);
-                    checkDrained();
+                    completeIfDrained();
                 });
-        return drained.whenComplete((v, e) -> stopTicking());
+        return drained.whenComplete((v, e) -> stopTimers());
     }
 
-    /** Refuses from this instant, and tells every daemon that has a link here. */
+    /** Starts or stops draining, and notifies all connected daemons. */
     private void setLeaving(boolean leaving) {
-        if (leaving == mGate.isLeaving()) {
+        if (leaving == mAdmission.isLeaving()) {
             return;
         }
-        mGate.setLeaving(leaving);
+        mAdmission.setLeaving(leaving);
         LOG.info(
                 "event=target target={} leaving={} load={}",
                 mConfig.target(),
                 leaving,
-                mGate.load());
-        mLinks.open().forEach(this::sendNotice);
+                mAdmission.load());
+        mLinks.open().forEach(this::sendLoadNotice);
     }
 
-    private long cacheLifetime() {
-        return mCache.map(CacheWatch::lifetimeMillis).orElse(0L);
+    private long cacheLifetimeMillis() {
+        return mCacheLifetime.map(CacheLifetimeEstimator::lifetimeMillis).orElse(0L);
     }
 
-    private void stopTicking() {
+    private void stopTimers() {
         mTicker.stop();
-        mCache.ifPresent(CacheWatch::stop);
+        mCacheLifetime.ifPresent(CacheLifetimeEstimator::stop);
     }
 
-    private void checkDrained() {
-        boolean sending = mStreams.values().stream().anyMatch(m -> !m.isEmpty());
-        if (mDrained != null && mGate.load() == 0 && !sending) {
+    private void completeIfDrained() {
+        boolean hasSubscriptions = mSubscriptions.values().stream().anyMatch(m -> !m.isEmpty());
+        if (mDrained != null && mAdmission.load() == 0 && !hasSubscriptions) {
             mDrained.complete(null);
         }
     }
@@ -200,22 +213,22 @@
     @Override
     public Object dump() {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("gate", mGate.dump());
-        m.put("answers_kept", mKeeper.size());
-        m.put("answer_bytes_kept", mKeeper.bytes());
+        m.put("gate", mAdmission.dump());
+        m.put("answers_kept", mExchanges.size());
+        m.put("answer_bytes_kept", mExchanges.retainedBytes());
         m.put("counters", mCounters.dump());
         m.put("decisions", mDecisions.newest(50));
         return m;
     }
 
-    /** Returns the decisions on requests, for explanations. */
+    /** Returns the log of decisions on requests. */
     public DecisionLog decisions() {
         return mDecisions;
     }
 
-    /** Returns the gate, for metrics. */
-    public TargetGate<?> gate() {
-        return mGate;
+    /** Returns the admission controller. */
+    public AdmissionController<?> admission() {
+        return mAdmission;
     }
 
     private void onFleetChanged() {
@@ -223,7 +236,7 @@
             Set<String> others =
                     p.targets().stream().map(TargetView::name).collect(Collectors.toSet());
             others.remove(mConfig.target());
-            mGate.setMembers(p.spec().name(), others);
+            mAdmission.setMembers(p.spec().name(), others);
         }
         boolean declared =
                 mFleet.view()
@@ -234,20 +247,20 @@
     }
 
     private void tick() {
-        mGate.expire();
-        mKeeper.expire(mClock.nowMillis()).forEach(this::giveUp);
-        for (Map.Entry<Link, Map<Long, Attached>> e : mStreams.entrySet()) {
-            if (!e.getValue().isEmpty() && e.getKey().unsentMillis() > ALIVE_MILLIS) {
-                sendNotice(e.getKey());
+        mAdmission.expire();
+        mExchanges.expire(mClock.nowMillis()).forEach(this::cancel);
+        for (Map.Entry<Link, Map<Long, Subscription>> e : mSubscriptions.entrySet()) {
+            if (!e.getValue().isEmpty() && e.getKey().unsentMillis() > KEEP_ALIVE_INTERVAL_MILLIS) {
+                sendLoadNotice(e.getKey());
             }
         }
-        checkDrained();
+        completeIfDrained();
     }
 
-    /** Ends the work on a repeatable request that nobody has followed for a while. */
-    private void giveUp(Exchange e) {
+    /** Removes a request from the queue, or cancels it at the target. */
+    private void cancel(Exchange e) {
         if (e.state() == Exchange.State.WAITING) {
-            mGate.leaveQueue(e);
+            mAdmission.removeQueued(e);
             e.refuse(Refused.notRun(RefusalReason.CANCELLED, 0));
             return;
         }
@@ -255,13 +268,13 @@
         e.refuse(Refused.mayHaveRun(RefusalReason.CANCELLED));
     }
 
-    private void sendNotice(Link link) {
-        LoadNotice.Builder n = LoadNotice.newBuilder().addAllDigests(ownDigest());
+    private void sendLoadNotice(Link link) {
+        LoadNotice.Builder n = LoadNotice.newBuilder().addAllDigests(loadDigests());
         link.send(mSync.packet().setLoadNotice(n).build());
     }
 
-    private List<org.forkseam.wire.proto.LoadDigest> ownDigest() {
-        return mDigests.withOwn(mGate.digest());
+    private List<org.forkseam.wire.proto.LoadDigest> loadDigests() {
+        return mDigestCarrier.withOwn(mAdmission.digest());
     }
 
     // ---------------------------------------------------------------- from routers
@@ -273,36 +286,38 @@
             case CREDIT -> onCredit(link, p.getCredit());
             case CANCEL -> onCancel(link, p.getCancel().getStream());
             case RESUME -> onResume(link, p.getResume());
-            case LOAD_NOTICE -> learn(link, p.getLoadNotice().getDigestsList());
+            case LOAD_NOTICE -> mergeDigests(link, p.getLoadNotice().getDigestsList());
             default -> {
-                // The other sinks' concern.
+                // Handled by other listeners.
             }
         }
     }
 
-    private void learn(Link link, List<org.forkseam.wire.proto.LoadDigest> digests) {
-        mFleet.learn(link, digests, mClock.nowMillis()).forEach(mGate::onDigest);
+    private void mergeDigests(Link link, List<org.forkseam.wire.proto.LoadDigest> digests) {
+        mFleet.learn(link, digests, mClock.nowMillis()).forEach(mAdmission::onDigest);
     }
 
     private void onSubmit(Link link, Submit s) {
-        learn(link, s.getDigestsList());
-        Viewer viewer = viewer(link, s.getStream(), 0, s.getWindow());
-        Optional<Exchange> known = mKeeper.byRequest(s.getRequestId(), s.getFingerprint());
-        if (known.isPresent() && canJoin(known.get())) {
+        mergeDigests(link, s.getDigestsList());
+        StreamSubscriber subscriber = createSubscriber(link, s.getStream(), 0, s.getWindow());
+        Optional<Exchange> existing =
+                mExchanges.findByRequest(s.getRequestId(), s.getFingerprint());
+        if (existing.isPresent() && canJoin(existing.get())) {
             mCounters.onJoined();
-            attach(known.get(), viewer);
+            subscribe(existing.get(), subscriber);
             return;
         }
-        Exchange e = new Exchange(s, this, mClock.nowMillis(), mConfig.keptBytes() / 4);
-        mKeeper.add(e);
-        attach(e, viewer);
+        Exchange e = new Exchange(s, this, mClock.nowMillis(), mConfig.maxRetainedBytes() / 4);
+        mExchanges.add(e);
+        subscribe(e, subscriber);
         long deadline = mClock.nowMillis() + s.getRemainingMillis();
         Optional<PoolView> pool = mFleet.view().pool(s.getPool());
-        PoolSpec spec = pool.map(PoolView::spec).orElseGet(() -> unknownPool(s.getPool()));
+        PoolSpec spec = pool.map(PoolView::spec).orElseGet(() -> fallbackPoolSpec(s.getPool()));
         long capacity = pool.map(PoolView::totalCapacity).orElse((long) mConfig.capacity());
         int members = pool.map(v -> v.targets().size()).orElse(1);
-        mGate.onOthersLoad(s.getPool(), s.getOthersLoad(), s.getOthersRefused());
-        mGate.enter(
+        mAdmission.onReportedLoad(s.getPool(), s.getOthersLoad(), s.getOthersRefused());
+        mAdmission
+                .admit(
                         e,
                         spec,
                         capacity,
@@ -313,14 +328,14 @@
                 .ifPresent(r -> onRefused(e, r));
     }
 
-    /** A repeatable request whose answer is no longer kept from its start is run again. */
+    /** Returns false if the request must run again since its response is no longer complete. */
     private static boolean canJoin(Exchange e) {
-        boolean kept = e.buffer().has(0) || e.request().getUnrepeatable();
-        return e.state() != Exchange.State.OVER && kept;
+        boolean isComplete = e.buffer().has(0) || e.request().getUnrepeatable();
+        return e.state() != Exchange.State.OVER && isComplete;
     }
 
-    /** Serves a router that is ahead in configuration, until this sidecar has caught up. */
-    private static PoolSpec unknownPool(String name) {
+    /** Returns defaults for a pool that this sidecar's configuration does not have yet. */
+    private static PoolSpec fallbackPoolSpec(String name) {
         return new PoolSpec(
                 name,
                 Selector.all(),
@@ -330,88 +345,90 @@
                 Duration.ofMinutes(1));
     }
 
-    private Viewer viewer(Link link, long stream, long from, long window) {
-        return new Viewer(link, stream, from, window, mVoice);
+    private StreamSubscriber createSubscriber(Link link, long stream, long from, long window) {
+        return new StreamSubscriber(link, stream, from, window, mStatus);
     }
 
-    private void attach(Exchange e, Viewer viewer) {
-        mStreams.computeIfAbsent(viewer.link(), k -> new HashMap<>())
-                .put(viewer.stream(), new Attached(e, viewer));
-        e.addViewer(viewer);
-        detachIfDone(viewer);
+    private void subscribe(Exchange e, StreamSubscriber subscriber) {
+        mSubscriptions
+                .computeIfAbsent(subscriber.link(), k -> new HashMap<>())
+                .put(subscriber.stream(), new Subscription(e, subscriber));
+        e.addSubscriber(subscriber);
+        unsubscribeIfDone(subscriber);
     }
 
-    private void detachIfDone(Viewer viewer) {
-        if (viewer.isDone()) {
-            streams(viewer.link()).remove(viewer.stream());
+    private void unsubscribeIfDone(StreamSubscriber subscriber) {
+        if (subscriber.isDone()) {
+            subscriptions(subscriber.link()).remove(subscriber.stream());
         }
     }
 
-    private Map<Long, Attached> streams(Link link) {
-        return mStreams.getOrDefault(link, Map.of());
+    private Map<Long, Subscription> subscriptions(Link link) {
+        return mSubscriptions.getOrDefault(link, Map.of());
     }
 
     private void onCredit(Link link, Credit c) {
-        Attached a = streams(link).get(c.getStream());
-        if (a == null) {
+        Subscription subscription = subscriptions(link).get(c.getStream());
+        if (subscription == null) {
             return;
         }
-        a.viewer().onCredit(c.getTotalBytes(), c.getAckedSequence());
-        a.exchange().pump();
-        detachIfDone(a.viewer());
+        subscription.subscriber().onCredit(c.getTotalBytes(), c.getAckedSequence());
+        subscription.exchange().flush();
+        unsubscribeIfDone(subscription.subscriber());
     }
 
     private void onCancel(Link link, long stream) {
-        Attached a = streams(link).remove(stream);
-        if (a == null) {
+        Subscription subscription = subscriptions(link).remove(stream);
+        if (subscription == null) {
             return;
         }
-        Exchange e = a.exchange();
-        e.removeViewer(a.viewer());
-        if (!e.viewers().isEmpty() || e.isOver()) {
+        Exchange e = subscription.exchange();
+        e.removeSubscriber(subscription.subscriber());
+        if (!e.subscribers().isEmpty() || e.isEnded()) {
             return;
         }
-        // An unrepeatable request that runs goes on to its end, so that a repeat gets its answer.
+        // A running unrepeatable request is completed, so that a retry gets its response.
         if (e.state() == Exchange.State.WAITING || !e.request().getUnrepeatable()) {
-            giveUp(e);
+            cancel(e);
         }
     }
 
     @Override
     public void onClosed(Link link) {
-        Map<Long, Attached> gone = mStreams.remove(link);
-        if (gone == null) {
+        Map<Long, Subscription> closed = mSubscriptions.remove(link);
+        if (closed == null) {
             return;
         }
         long now = mClock.nowMillis();
-        for (Attached a : gone.values()) {
-            a.exchange().removeViewer(a.viewer());
-            if (a.exchange().viewers().isEmpty()) {
-                mKeeper.orphaned(a.exchange(), now);
+        for (Subscription subscription : closed.values()) {
+            subscription.exchange().removeSubscriber(subscription.subscriber());
+            if (subscription.exchange().subscribers().isEmpty()) {
+                mExchanges.onOrphaned(subscription.exchange(), now);
             }
         }
     }
 
     private void onResume(Link link, Resume r) {
-        Viewer viewer = viewer(link, r.getStream(), r.getFromSequence(), r.getWindow());
-        Optional<Exchange> known = mKeeper.byAttempt(r.getAttemptKey());
-        if (known.isPresent()) {
+        StreamSubscriber subscriber =
+                createSubscriber(link, r.getStream(), r.getFromSequence(), r.getWindow());
+        Optional<Exchange> existing = mExchanges.findByAttempt(r.getAttemptKey());
+        if (existing.isPresent()) {
             mCounters.onResumed();
-            attach(known.get(), viewer);
+            subscribe(existing.get(), subscriber);
             return;
         }
-        boolean sameLife = r.getIncarnation() == mConfig.incarnation();
-        if (!sameLife && r.getEngineStream()) {
-            resumeFromEngine(r, viewer);
+        boolean sameIncarnation = r.getIncarnation() == mConfig.incarnation();
+        if (!sameIncarnation && r.getEngineStream()) {
+            resumeFromEngine(r, subscriber);
             return;
         }
-        viewer.refuse(
-                sameLife
+        subscriber.refuse(
+                sameIncarnation
                         ? Refused.notRun(RefusalReason.UNKNOWN_ATTEMPT, 0)
                         : Refused.mayHaveRun(RefusalReason.UNKNOWN_ATTEMPT));
     }
 
-    private void resumeFromEngine(Resume r, Viewer viewer) {
+    private void resumeFromEngine(Resume r, StreamSubscriber subscriber) {
         Submit s =
                 Submit.newBuilder()
                         .setRequestId(r.getAttemptKey())
@@ -420,24 +437,28 @@
                         .setStripUsage(r.getStripUsage())
                         .build();
         Exchange e =
-                Exchange.resumed(
-                        s, this, mClock.nowMillis(), mConfig.keptBytes() / 4, r.getFromSequence());
-        mKeeper.add(e);
-        attach(e, viewer);
-        mGate.enterRunning();
-        e.runResumed(mTarget, mClock.nowMillis());
+                Exchange.createResumed(
+                        s,
+                        this,
+                        mClock.nowMillis(),
+                        mConfig.maxRetainedBytes() / 4,
+                        r.getFromSequence());
+        mExchanges.add(e);
+        subscribe(e, subscriber);
+        mAdmission.addRunning();
+        e.resume(mTarget, mClock.nowMillis());
     }
 
-    // ---------------------------------------------------------------- from the gate
+    // ---------------------------------------------------------------- from admission
 
     @Override
-    public void onTurn(Exchange e) {
+    public void onAdmitted(Exchange e) {
         if (!e.request().getUnrepeatable()) {
             mDecisions.note(e.request().getRequestId(), "started", mConfig.target());
-            e.run(mTarget, mClock.nowMillis());
+            e.send(mTarget, mClock.nowMillis());
             return;
         }
-        mUnrepeatable.start(e);
+        mUnrepeatableExecutor.start(e);
     }
 
     @Override
@@ -453,32 +474,37 @@
     public void onEnded(Exchange e) {
         boolean ran = e.startedMillis() > 0 && !e.isReplayed();
         if (ran) {
-            mGate.release(Math.max(1, mClock.nowMillis() - e.startedMillis()));
+            mAdmission.release(Math.max(1, mClock.nowMillis() - e.startedMillis()));
             mCounters.onServed(e.usage());
             mDecisions.note(e.request().getRequestId(), "ended " + e.state(), mConfig.target());
         }
         if (ran) {
-            mUnrepeatable.onEnded(e);
+            mUnrepeatableExecutor.onEnded(e);
         }
         mLoop.post(
                 () -> {
-                    e.viewers().forEach(this::detachIfDone);
-                    streamsOf(e);
+                    e.subscribers().forEach(this::unsubscribeIfDone);
+                    removeFinished(e);
                 });
-        mKeeper.ended(e, mClock.nowMillis());
+        mExchanges.onEnded(e, mClock.nowMillis());
     }
 
-    /** Drops the streams of viewers that got all they were to get. */
-    private void streamsOf(Exchange e) {
-        mStreams.values()
-                .forEach(m -> m.values().removeIf(a -> a.exchange() == e && a.viewer().isDone()));
-        checkDrained();
+    /** Removes the exchange's subscriptions that are done. */
+    private void removeFinished(Exchange e) {
+        mSubscriptions
+                .values()
+                .forEach(
+                        m ->
+                                m.values()
+                                        .removeIf(
+                                                s -> s.exchange() == e && s.subscriber().isDone()));
+        completeIfDrained();
     }
 
     @Override
     public void onNotSent(Exchange e, Exception cause) {
         Refused r = Refused.notRun(RefusalReason.TARGET_DOWN, 1000).withDetail(cause.toString());
         mCounters.onRefused(r.reason());
-        mUnrepeatable.giveBack(e, r);
+        mUnrepeatableExecutor.releaseClaim(e, r);
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/SidecarCounters.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/SidecarCounters.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Counts what a sidecar does. */
+/** Metrics of a sidecar. */
 public final class SidecarCounters {
     private final MeterRegistry mRegistry;
     private final Counter mServed;
@@ -33,7 +33,7 @@
         return new SidecarCounters(registry);
     }
 
-    void onServed(Usage usage) {
+    void onServed(TokenUsage usage) {
         mServed.increment();
         mPromptTokens.increment(usage.promptTokens());
         mCachedTokens.increment(usage.cachedTokens());
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/StoredAnswer.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/StoredResponse.java
@@ -12,48 +12,48 @@
 import java.util.Optional;
 
 /**
- * Holds the answer to an unrepeatable request as it is kept in its claim.
+ * The response to an unrepeatable request as stored in its claim.
  *
  * @param status HTTP status
  * @param names header names
  * @param values header values, in the same order
- * @param frames the body as it was framed
+ * @param frames body frames
  */
-record StoredAnswer(int status, List<String> names, List<String> values, List<byte[]> frames) {
-    /** A larger answer is not kept in the table service. */
+record StoredResponse(int status, List<String> names, List<String> values, List<byte[]> frames) {
+    /** Responses of this size or larger are not stored. */
     static final int MAX_BYTES = 64 << 10;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Returns an exchange's answer, if it is whole and small enough to be kept. */
-    static Optional<StoredAnswer> of(Exchange e) {
+    /** Returns an exchange's response, if it is complete and small enough to store. */
+    static Optional<StoredResponse> of(Exchange e) {
         return e.frames()
                 .filter(f -> f.stream().mapToInt(d -> d.length).sum() < MAX_BYTES)
                 .map(f -> of(e.status(), e.headers(), f));
     }
 
-    private static StoredAnswer of(int status, List<Header> headers, List<byte[]> frames) {
+    private static StoredResponse of(int status, List<Header> headers, List<byte[]> frames) {
         List<String> names = headers.stream().map(Header::getName).toList();
         List<String> values = headers.stream().map(Header::getValue).toList();
-        return new StoredAnswer(status, names, values, frames);
+        return new StoredResponse(status, names, values, frames);
     }
 
-    String write() {
+    String toJson() {
         try {
             return JSON.writeValueAsString(this);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an answer can always be written", e);
+            throw new IllegalStateException("response cannot be serialized", e);
         }
     }
 
-    static Optional<StoredAnswer> read(String text) {
+    static Optional<StoredResponse> fromJson(String text) {
         if (text.isEmpty()) {
             return Optional.empty();
         }
         try {
-            return Optional.of(JSON.readValue(text, StoredAnswer.class));
+            return Optional.of(JSON.readValue(text, StoredResponse.class));
         } catch (IOException e) {
-            throw new UncheckedIOException("a stored answer cannot be read", e);
+            throw new UncheckedIOException("malformed stored response", e);
         }
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Viewer.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/StreamSubscriber.java
@@ -18,39 +18,40 @@
 import java.util.function.Supplier;
 
 /**
- * Sends one exchange's answer over one stream of a link, within the credit given. Used on the event
- * loop.
+ * Sends an exchange's response over one stream of a link, within the credit that the router
+ * granted. Not thread-safe; used on the event loop.
  */
-final class Viewer {
+final class StreamSubscriber {
     private final Link mLink;
     private final long mStream;
-    private final Voice mVoice;
-    private long mNext;
+    private final SidecarStatus mSidecarStatus;
+    private long mNextSequence;
     private long mSentBytes;
-    private long mAllowedBytes;
-    private long mAcked;
+    private long mCreditBytes;
+    private long mAckedSequence;
     private boolean mHeadSent;
     private boolean mDone;
 
     /**
-     * Holds what a sidecar says of itself with every answer.
+     * Sidecar state that is sent with every response.
      *
-     * @param packets builders that name the version in force
-     * @param digests the load, its own and a few others'
-     * @param cacheLifetimeMillis how long its engine keeps a prefix, 0 if not known
+     * @param packets creates packet builders that carry the current configuration version
+     * @param digests load digests of this target and a few others
+     * @param cacheLifetimeMillis estimated lifetime of a prefix in the engine's cache, 0 if unknown
      */
-    record Voice(
+    record SidecarStatus(
             Supplier<Packet.Builder> packets,
             Supplier<List<LoadDigest>> digests,
             LongSupplier cacheLifetimeMillis) {}
 
-    Viewer(Link link, long stream, long fromSequence, long window, Voice voice) {
+    StreamSubscriber(
+            Link link, long stream, long fromSequence, long window, SidecarStatus sidecarStatus) {
         mLink = link;
         mStream = stream;
-        mNext = fromSequence;
-        mAcked = fromSequence;
-        mAllowedBytes = window;
-        mVoice = voice;
+        mNextSequence = fromSequence;
+        mAckedSequence = fromSequence;
+        mCreditBytes = window;
+        mSidecarStatus = sidecarStatus;
     }
 
     Link link() {
@@ -61,31 +62,31 @@
         return mStream;
     }
 
-    long acked() {
-        return mAcked;
+    long ackedSequence() {
+        return mAckedSequence;
     }
 
     boolean isDone() {
         return mDone;
     }
 
-    /** Takes credit in; the total only grows, so a credit that comes late or twice does no harm. */
+    /** Applies credit. Totals are cumulative, so late or duplicate credits have no effect. */
     void onCredit(long totalBytes, long ackedSequence) {
-        mAllowedBytes = Math.max(mAllowedBytes, totalBytes);
-        mAcked = Math.max(mAcked, ackedSequence);
+        mCreditBytes = Math.max(mCreditBytes, totalBytes);
+        mAckedSequence = Math.max(mAckedSequence, ackedSequence);
     }
 
-    /** Returns bytes that wait for this viewer's credit. */
-    int heldBytes(Exchange e) {
+    /** Returns the buffered bytes not yet sent to this subscriber. */
+    int unsentBytes(Exchange e) {
         AnswerBuffer b = e.buffer();
-        int held = 0;
-        for (long i = mNext; i < b.frameCount(); i++) {
-            held += b.frame(i).length;
+        int unsent = 0;
+        for (long i = mNextSequence; i < b.frameCount(); i++) {
+            unsent += b.frame(i).length;
         }
-        return held;
+        return unsent;
     }
 
-    void pump(Exchange e) {
+    void flush(Exchange e) {
         if (mDone) {
             return;
         }
@@ -93,16 +94,19 @@
             sendHead(e);
         }
         AnswerBuffer b = e.buffer();
-        if (!b.has(mNext)) {
-            refuse(Refused.failed(RefusalReason.NOT_KEPT, "the answer's beginning is not kept"));
+        if (!b.has(mNextSequence)) {
+            refuse(
+                    Refused.failed(
+                            RefusalReason.NOT_KEPT,
+                            "the start of the response is no longer buffered"));
             return;
         }
-        while (mNext < b.frameCount() && mSentBytes < mAllowedBytes) {
-            sendFrame(b.frame(mNext));
+        while (mNextSequence < b.frameCount() && mSentBytes < mCreditBytes) {
+            sendFrame(b.frame(mNextSequence));
         }
-        if (e.refused().isPresent() && !mHeadSent) {
-            refuse(e.refused().get());
-        } else if (e.isOver() && mNext == b.frameCount()) {
+        if (e.refusal().isPresent() && !mHeadSent) {
+            refuse(e.refusal().get());
+        } else if (e.isEnded() && mNextSequence == b.frameCount()) {
             sendEnd(e);
         }
     }
@@ -116,22 +120,22 @@
                         .addAllHeaders(e.headers())
                         .setReplayed(e.isReplayed())
                         .setQueuedMillis((int) (e.startedMillis() - e.arrivedMillis()))
-                        .addAllDigests(mVoice.digests().get());
+                        .addAllDigests(mSidecarStatus.digests().get());
         if (e.resumedFrom() >= 0) {
             h.setResumedFrom(e.resumedFrom());
         }
-        mLink.send(mVoice.packets().get().setHead(h).build());
+        mLink.send(mSidecarStatus.packets().get().setHead(h).build());
     }
 
     private void sendFrame(byte[] data) {
         Frame f =
                 Frame.newBuilder()
                         .setStream(mStream)
-                        .setSequence(mNext)
+                        .setSequence(mNextSequence)
                         .setData(ByteString.copyFrom(data))
                         .build();
-        mLink.send(mVoice.packets().get().setFrame(f).build());
-        mNext++;
+        mLink.send(mSidecarStatus.packets().get().setFrame(f).build());
+        mNextSequence++;
         mSentBytes += data.length;
     }
 
@@ -145,13 +149,13 @@
                         .setPromptTokens(e.usage().promptTokens())
                         .setCachedTokens(e.usage().cachedTokens())
                         .setCacheLifetimeSeconds(
-                                (int) (mVoice.cacheLifetimeMillis().getAsLong() / 1000))
-                        .addAllDigests(mVoice.digests().get());
-        e.refused().ifPresent(r -> end.setError(r.reason().name() + ": " + r.detail()));
-        mLink.send(mVoice.packets().get().setEnd(end).build());
+                                (int) (mSidecarStatus.cacheLifetimeMillis().getAsLong() / 1000))
+                        .addAllDigests(mSidecarStatus.digests().get());
+        e.refusal().ifPresent(r -> end.setError(r.reason().name() + ": " + r.detail()));
+        mLink.send(mSidecarStatus.packets().get().setEnd(end).build());
     }
 
-    /** Ends the stream without an answer. */
+    /** Ends the stream with a refusal. */
     void refuse(Refused r) {
         mDone = true;
         Refusal.Builder b =
@@ -162,7 +166,7 @@
                         .setRetryAfterMillis(r.retryAfterMillis())
                         .setOwner(r.owner())
                         .setDetail(r.detail())
-                        .addAllDigests(mVoice.digests().get());
-        mLink.send(mVoice.packets().get().setRefusal(b).build());
+                        .addAllDigests(mSidecarStatus.digests().get());
+        mLink.send(mSidecarStatus.packets().get().setRefusal(b).build());
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/TargetClient.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/TargetClient.java
@@ -5,60 +5,60 @@
 import java.util.List;
 
 /**
- * Speaks to one target. Used on the event loop; listeners are called there.
+ * Client for one target. Used on the event loop, where listeners are called too.
  *
  * @since 0.1
  */
 public interface TargetClient {
     /**
-     * Hands a request to the target.
+     * Sends a request to the target.
      *
-     * @param request what to send
-     * @param listener told of everything that comes back
+     * @param request the request
+     * @param listener receives the response
      */
     Call send(Request request, Listener listener);
 
-    /** Takes up an engine's stream after its event of some sequence. */
+    /** Resumes an engine's stream after the event with the given sequence number. */
     Call resume(String id, long fromSequence, Listener listener);
 
-    /** Tells an engine to end its work on a request. */
+    /** Asks an engine to cancel a request. */
     void cancel(String id);
 
     /**
-     * Holds what goes to the target.
+     * A request to the target.
      *
-     * @param id known to the target, for resuming and cancelling
+     * @param id identifies the request to the target, for resuming and cancelling
      * @param method HTTP method
      * @param path path with query
-     * @param headers headers to pass on
-     * @param body the body, or empty
+     * @param headers headers to forward
+     * @param body the body, may be empty
      */
     record Request(String id, String method, String path, List<Header> headers, byte[] body) {}
 
-    /** Is a request under way. */
+    /** A request in flight. */
     interface Call {
-        /** Lets more of the answer come in, or holds it back. */
+        /** Resumes or pauses reading the response. */
         void setReading(boolean reading);
 
-        /** Drops the connection. */
+        /** Closes the connection. */
         void close();
     }
 
-    /** Receives what comes back. After one of the last three methods nothing more comes. */
+    /** Receives a response. The last three methods are terminal: no call follows them. */
     interface Listener {
         /** Receives status and headers. */
         void onHead(int status, List<Header> headers);
 
-        /** Receives a part of the body. */
+        /** Receives a chunk of the body. */
         void onData(byte[] data);
 
-        /** Receives the regular end of the answer. */
+        /** Receives the regular end of the response. */
         void onEnd();
 
-        /** Receives that the target never got the request: no connection could be opened. */
+        /** Called if no connection could be opened, so the target never received the request. */
         void onNotSent(Exception cause);
 
-        /** Receives that the answer broke off, or that it is not known whether there was any. */
-        void onBroken(Exception cause);
+        /** Called if the response was cut off, or if the target may have received the request. */
+        void onFailed(Exception cause);
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/package-info.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/package-info.java
@@ -1,2 +1,2 @@
-/** The only way to a target: admission, claims, hand-over, answers kept. */
+/** Sidecar proxy of a target: admission, claims, forwarding and response buffering. */
 package org.forkseam.daemon.sidecar;
