--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
@@ -9,7 +9,7 @@
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
 import org.forkseam.daemon.admin.AdminApi;
-import org.forkseam.daemon.admin.Explainer;
+import org.forkseam.daemon.admin.DecisionExplainer;
 import org.forkseam.daemon.cfg.SettingKey;
 import org.forkseam.daemon.cfg.Settings;
 import org.forkseam.daemon.net.Links;
@@ -238,8 +238,8 @@
                         host(),
                         mSettings.address(SettingKey.OPERATORS_LISTEN),
                         mSettings.text(SettingKey.OPERATORS_KEY));
-        AdminApi.Parts parts =
-                new AdminApi.Parts(
+        AdminApi.Dependencies parts =
+                new AdminApi.Dependencies(
                         mFleet,
                         mSync,
                         ConfigAuthor.of(mFleet, mSync, mConfigStore, mClock),
@@ -248,7 +248,11 @@
                         this::isReady,
                         mRegistry.counter("forkseam.admin.unauthorized")::increment);
         return AdminApi.of(
-                mLoop, mClock, config, parts, Explainer.of(host(), mFleet, mSync, decisions));
+                mLoop,
+                mClock,
+                config,
+                parts,
+                DecisionExplainer.of(host(), mFleet, mSync, decisions));
     }
 
     // ---------------------------------------------------------------- life-cycle
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/AdminApi.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/AdminApi.java
@@ -38,8 +38,8 @@
 import java.util.function.Supplier;
 
 /**
- * Serves the operators' port: health without a key, everything else with one. Runs on the event
- * loop.
+ * Serves the admin HTTP API. Health endpoints are public; all others require a bearer key. Not
+ * thread-safe; requests are handled on the event loop.
  *
  * @since 0.1
  */
@@ -49,28 +49,28 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(AdminApi.class);
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String BEARER = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
     private static final int MAX_BODY_BYTES = 4 << 20;
-    private static final long ASK_MILLIS = 1_000;
+    private static final long QUERY_TIMEOUT_MILLIS = 1_000;
 
     private final Eventloop mLoop;
     private final Clock mClock;
     private final Config mConfig;
-    private final Parts mParts;
-    private final Explainer mExplainer;
+    private final Dependencies mDependencies;
+    private final DecisionExplainer mExplainer;
     private HttpServer mServer;
 
     /**
-     * Holds what the port is told.
+     * Configuration of the admin API.
      *
      * @param host name of this daemon's host
-     * @param listen where operators connect
+     * @param listen address to listen on
      * @param key bearer key
      */
     public record Config(String host, InetSocketAddress listen, String key) {}
 
-    /** Holds what the port shows and drives. */
-    public record Parts(
+    /** Services that the admin API reads and controls. */
+    public record Dependencies(
             Fleet fleet,
             FleetSync sync,
             ConfigAuthor author,
@@ -79,21 +79,30 @@
             BooleanSupplier ready,
             Runnable onUnauthorized) {}
 
-    private AdminApi(Eventloop loop, Clock clock, Config config, Parts parts, Explainer explainer) {
+    private AdminApi(
+            Eventloop loop,
+            Clock clock,
+            Config config,
+            Dependencies dependencies,
+            DecisionExplainer explainer) {
         mLoop = loop;
         mClock = clock;
         mConfig = config;
-        mParts = parts;
+        mDependencies = dependencies;
         mExplainer = explainer;
     }
 
-    /** Creates the operators' port of one daemon. */
+    /** Creates the admin API of one daemon. */
     public static AdminApi of(
-            Eventloop loop, Clock clock, Config config, Parts parts, Explainer explainer) {
-        return new AdminApi(loop, clock, config, parts, explainer);
+            Eventloop loop,
+            Clock clock,
+            Config config,
+            Dependencies dependencies,
+            DecisionExplainer explainer) {
+        return new AdminApi(loop, clock, config, dependencies, explainer);
     }
 
-    // ---------------------------------------------------------------- life-cycle
+    // ---------------------------------------------------------------- lifecycle
 
     @Override
     public String name() {
@@ -126,7 +135,7 @@
         return closed;
     }
 
-    /** Returns the address on which operators are served. */
+    /** Returns the bound address. */
     public InetSocketAddress address() {
         return mServer.getBoundAddresses().get(0);
     }
@@ -139,13 +148,13 @@
             return HttpResponse.ok200().withPlainText("ok\n").toPromise();
         }
         if (path.equals("/readyz")) {
-            boolean ready = mParts.ready().getAsBoolean();
+            boolean ready = mDependencies.ready().getAsBoolean();
             return HttpResponse.ofCode(ready ? 200 : 503)
                     .withPlainText(ready ? "ready\n" : "not ready\n")
                     .toPromise();
         }
         if (!isAuthorized(http)) {
-            mParts.onUnauthorized().run();
+            mDependencies.onUnauthorized().run();
             return error(401, "wrong or missing bearer key; nothing was changed");
         }
         if (http.getMethod() == HttpMethod.POST) {
@@ -156,35 +165,39 @@
 
     private boolean isAuthorized(HttpRequest http) {
         String given = http.getHeader(HttpHeaders.AUTHORIZATION);
-        if (given == null || !given.startsWith(BEARER)) {
+        if (given == null || !given.startsWith(BEARER_PREFIX)) {
             return false;
         }
-        byte[] a = given.substring(BEARER.length()).getBytes(StandardCharsets.UTF_8);
+        byte[] a = given.substring(BEARER_PREFIX.length()).getBytes(StandardCharsets.UTF_8);
         return MessageDigest.isEqual(a, mConfig.key().getBytes(StandardCharsets.UTF_8));
     }
 
     private Promise<HttpResponse> get(String path) {
-        String explain = "/v1/explain/";
-        if (path.startsWith(explain)) {
-            return promise(mExplainer.explain(path.substring(explain.length())));
+        String explainPrefix = "/v1/explain/";
+        if (path.startsWith(explainPrefix)) {
+            return jsonPromise(mExplainer.explain(path.substring(explainPrefix.length())));
         }
-        String at = "/v1/config/at/";
-        if (path.startsWith(at)) {
-            return configAt(path.substring(at.length()));
+        String configAtPrefix = "/v1/config/at/";
+        if (path.startsWith(configAtPrefix)) {
+            return configAt(path.substring(configAtPrefix.length()));
         }
         return switch (path) {
             case "/metrics" ->
-                    HttpResponse.ok200().withPlainText(mParts.metrics().get()).toPromise();
-            case "/v1/dump" -> json(200, mParts.dump().get());
-            case "/v1/config" -> json(200, describe(mParts.fleet().config()));
+                    HttpResponse.ok200().withPlainText(mDependencies.metrics().get()).toPromise();
+            case "/v1/dump" -> json(200, mDependencies.dump().get());
+            case "/v1/config" -> json(200, describe(mDependencies.fleet().config()));
             case "/v1/config/history" -> json(200, history());
             case "/v1/config/status" ->
-                    promise(mParts.sync().versions(ASK_MILLIS).thenApply(this::status));
-            case "/v1/fleet" -> json(200, mParts.fleet().dump(mClock.nowMillis()));
+                    jsonPromise(
+                            mDependencies
+                                    .sync()
+                                    .versions(QUERY_TIMEOUT_MILLIS)
+                                    .thenApply(this::status));
+            case "/v1/fleet" -> json(200, mDependencies.fleet().dump(mClock.nowMillis()));
             default ->
                     error(
                             404,
-                            "path "
+                            "unknown path "
                                     + path
                                     + "; allowed: /metrics, /v1/dump, /v1/config,"
                                     + " /v1/config/history, /v1/config/status, /v1/fleet,"
@@ -194,14 +207,14 @@
 
     private Promise<HttpResponse> configAt(String version) {
         if (!version.matches("[0-9]{1,12}")) {
-            return error(400, "version " + version + "; allowed: a whole number");
+            return error(400, "invalid version " + version + "; allowed: a non-negative integer");
         }
-        return Promise.ofCompletionStage(mParts.author().at(Long.parseLong(version)))
+        return Promise.ofCompletionStage(mDependencies.author().at(Long.parseLong(version)))
                 .then(
                         c ->
                                 c.isPresent()
                                         ? json(200, describe(c.get()))
-                                        : error(404, "version " + version + " is not known"));
+                                        : error(404, "version " + version + " not found"));
     }
 
     private static Map<String, Object> describe(FleetConfig config) {
@@ -213,7 +226,7 @@
     }
 
     private List<Map<String, Object>> history() {
-        return mParts.fleet().log().history().stream().map(AdminApi::describe).toList();
+        return mDependencies.fleet().log().history().stream().map(AdminApi::describe).toList();
     }
 
     private static Map<String, Object> describe(ConfigChange c) {
@@ -229,12 +242,12 @@
 
     private Map<String, Object> status(Map<String, Long> versions) {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("version", mParts.fleet().config().version());
-        m.put("age_ms", mClock.nowMillis() - mParts.fleet().configAtMillis());
+        m.put("version", mDependencies.fleet().config().version());
+        m.put("age_ms", mClock.nowMillis() - mDependencies.fleet().configAtMillis());
         m.put("daemons", versions);
         m.put(
                 "unreachable",
-                mParts.fleet().view().hosts().stream()
+                mDependencies.fleet().view().hosts().stream()
                         .map(h -> h.host())
                         .filter(h -> !versions.containsKey(h))
                         .toList());
@@ -245,18 +258,19 @@
 
     private Promise<HttpResponse> post(String path, byte[] body) {
         if (!path.equals("/v1/config/changes")) {
-            return error(404, "path " + path + "; allowed: /v1/config/changes");
+            return error(404, "unknown path " + path + "; allowed: /v1/config/changes");
         }
         ConfigAuthor.Request request;
         try {
-            request = read(JSON.readTree(body));
+            request = parseRequest(JSON.readTree(body));
         } catch (IOException | IllegalArgumentException e) {
-            return error(400, "body cannot be read: " + e.getMessage() + "; nothing was changed");
+            return error(400, "invalid request body: " + e.getMessage() + "; nothing was changed");
         }
-        return Promise.ofCompletionStage(mParts.author().apply(request)).then(this::answer);
+        return Promise.ofCompletionStage(mDependencies.author().apply(request))
+                .then(this::toResponse);
     }
 
-    private static ConfigAuthor.Request read(JsonNode n) {
+    private static ConfigAuthor.Request parseRequest(JsonNode n) {
         JsonNode base = n.path("base");
         Map<String, Map<String, String>> set =
                 JSON.convertValue(
@@ -268,7 +282,7 @@
                         new TypeReference<>() {});
         String changeId = n.path("change_id").asText();
         if (changeId.isEmpty()) {
-            throw new IllegalArgumentException("change_id is missing; allowed: a unique text");
+            throw new IllegalArgumentException("change_id is missing; allowed: a unique string");
         }
         return new ConfigAuthor.Request(
                 base.isNumber() ? OptionalLong.of(base.asLong()) : OptionalLong.empty(),
@@ -280,17 +294,17 @@
                 n.path("dry_run").asBoolean());
     }
 
-    private Promise<HttpResponse> answer(ConfigAuthor.Result result) {
+    private Promise<HttpResponse> toResponse(ConfigAuthor.Result result) {
         Map<String, Object> m = new LinkedHashMap<>();
         if (result instanceof ConfigAuthor.Result.Accepted a) {
             m.put("result", "accepted");
             m.put("version", a.version());
-            m.put("findings", texts(a.findings()));
+            m.put("findings", toStrings(a.findings()));
             return json(200, m);
         }
         if (result instanceof ConfigAuthor.Result.Invalid i) {
             m.put("result", "invalid");
-            m.put("findings", texts(i.findings()));
+            m.put("findings", toStrings(i.findings()));
             return json(422, m);
         }
         if (result instanceof ConfigAuthor.Result.Conflict c) {
@@ -304,13 +318,13 @@
         return json(503, m);
     }
 
-    private static List<String> texts(List<Finding> findings) {
+    private static List<String> toStrings(List<Finding> findings) {
         return findings.stream().map(Finding::toString).toList();
     }
 
     // ---------------------------------------------------------------- internals
 
-    private static <T> Promise<HttpResponse> promise(CompletableFuture<T> value) {
+    private static <T> Promise<HttpResponse> jsonPromise(CompletableFuture<T> value) {
         return Promise.ofCompletionStage(value).then(v -> json(200, v));
     }
 
@@ -319,7 +333,7 @@
             String text = JSON.writerWithDefaultPrettyPrinter().writeValueAsString(value);
             return HttpResponse.ofCode(status).withJson(text + "\n").toPromise();
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a dump is made of plain values only", e);
+            throw new IllegalStateException("response cannot be serialized", e);
         }
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/Explainer.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/DecisionExplainer.java
@@ -18,76 +18,80 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Gathers what was decided on one request, here and at the other daemons that saw it.
+ * Collects the decisions on a request from this daemon and its peers. Used on the event loop.
  *
  * @since 0.1
  */
-public final class Explainer {
+public final class DecisionExplainer {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long WITHIN_MILLIS = 800;
+    private static final long QUERY_TIMEOUT_MILLIS = 800;
 
     private final String mHost;
     private final Fleet mFleet;
     private final FleetSync mSync;
-    private final DecisionLog mOwn;
+    private final DecisionLog mLocalDecisions;
 
-    private Explainer(String host, Fleet fleet, FleetSync sync, DecisionLog own) {
+    private DecisionExplainer(
+            String host, Fleet fleet, FleetSync sync, DecisionLog localDecisions) {
         mHost = host;
         mFleet = fleet;
         mSync = sync;
-        mOwn = own;
+        mLocalDecisions = localDecisions;
     }
 
     /** Creates the explainer of one daemon. */
-    public static Explainer of(String host, Fleet fleet, FleetSync sync, DecisionLog own) {
-        return new Explainer(host, fleet, sync, own);
+    public static DecisionExplainer of(
+            String host, Fleet fleet, FleetSync sync, DecisionLog localDecisions) {
+        return new DecisionExplainer(host, fleet, sync, localDecisions);
     }
 
     /**
-     * Returns every daemon's notes on a request in the order of time, and who could not be asked.
+     * Returns the decisions of all daemons on a request, ordered by time, and the hosts that did
+     * not reply in time.
      */
     public CompletableFuture<Map<String, Object>> explain(String requestId) {
         List<HostEntry> others =
                 mFleet.view().hosts().stream().filter(h -> !h.host().equals(mHost)).toList();
         return mSync.query()
-                .ask(requestId, others, WITHIN_MILLIS)
+                .ask(requestId, others, QUERY_TIMEOUT_MILLIS)
                 .thenApply(replies -> merge(requestId, others, replies));
     }
 
     private Map<String, Object> merge(
-            String requestId, List<HostEntry> asked, Map<String, Packet> replies) {
+            String requestId, List<HostEntry> queried, Map<String, Packet> replies) {
         List<Map<String, Object>> notes = new ArrayList<>();
-        for (DecisionLog.Note n : mOwn.of(requestId)) {
-            notes.add(note(n.atMillis(), mHost, n.what(), n.where()));
+        for (DecisionLog.Note n : mLocalDecisions.of(requestId)) {
+            notes.add(toEntry(n.atMillis(), mHost, n.what(), n.where()));
         }
-        replies.forEach((host, p) -> notes.addAll(read(host, p.getDecisionReply().getJson())));
+        replies.forEach(
+                (host, p) -> notes.addAll(parseNotes(host, p.getDecisionReply().getJson())));
         notes.sort(Comparator.comparingLong(n -> (Long) n.get("at_ms")));
-        List<String> missing =
-                asked.stream().map(HostEntry::host).filter(h -> !replies.containsKey(h)).toList();
+        List<String> unanswered =
+                queried.stream().map(HostEntry::host).filter(h -> !replies.containsKey(h)).toList();
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("request", requestId);
         out.put("known", !notes.isEmpty());
         out.put("notes", notes);
-        out.put("not_answering", missing);
+        out.put("not_answering", unanswered);
         return out;
     }
 
-    private static List<Map<String, Object>> read(String host, String json) {
+    private static List<Map<String, Object>> parseNotes(String host, String json) {
         List<Map<String, Object>> out = new ArrayList<>();
         try {
             List<Map<String, Object>> notes =
                     JSON.readValue(json, new TypeReference<List<Map<String, Object>>>() {});
             for (Map<String, Object> n : notes) {
                 long at = ((Number) n.get("at_ms")).longValue();
-                out.add(note(at, host, n.get("what").toString(), n.get("where").toString()));
+                out.add(toEntry(at, host, n.get("what").toString(), n.get("where").toString()));
             }
         } catch (JsonProcessingException e) {
-            out.add(note(0, host, "reply cannot be read: " + e.getOriginalMessage(), ""));
+            out.add(toEntry(0, host, "malformed reply: " + e.getOriginalMessage(), ""));
         }
         return out;
     }
 
-    private static Map<String, Object> note(long at, String daemon, String what, String where) {
+    private static Map<String, Object> toEntry(long at, String daemon, String what, String where) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("at_ms", at);
         m.put("daemon", daemon);
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/package-info.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' port: health, metrics, dumps, configuration. */
+/** Admin HTTP API: health, metrics, state dumps and configuration. */
 package org.forkseam.daemon.admin;
