--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
@@ -12,7 +12,7 @@
 import org.forkseam.daemon.admin.DecisionExplainer;
 import org.forkseam.daemon.cfg.SettingKey;
 import org.forkseam.daemon.cfg.Settings;
-import org.forkseam.daemon.net.Links;
+import org.forkseam.daemon.net.LinkManager;
 import org.forkseam.daemon.orders.OrderDesk;
 import org.forkseam.daemon.orders.Rollouts;
 import org.forkseam.daemon.router.Router;
@@ -69,7 +69,7 @@
     private final Fleet mFleet = new Fleet();
     private final Http mHttp;
     private final HttpTableService mTable;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final FleetSync mSync;
     private final ConfigStore mConfigStore;
     private Router mRouter;
@@ -88,7 +88,7 @@
         mConfigStore =
                 ConfigStore.of(
                         mTable, HttpObjectStore.of(mHttp, settings.text(SettingKey.OBJECT_STORE)));
-        mLinks = Links.of(mLoop, wire(), settings.address(SettingKey.WIRE_LISTEN));
+        mLinks = LinkManager.of(mLoop, wire(), settings.address(SettingKey.WIRE_LISTEN));
         mSync = sync();
         build();
     }
@@ -212,7 +212,7 @@
                         SidecarCounters.of(mRegistry));
         if (isEngine()) {
             String url = mSettings.text(SettingKey.TARGET_URL);
-            mLinks.addSink(OrderDesk.of(mHttp, url, mTable, mSync::packet));
+            mLinks.addListener(OrderDesk.of(mHttp, url, mTable, mSync::packet));
         }
         Sidecar s = Sidecar.of(mLoop, mClock, config, parts, mRandom);
         mRegistry.gauge("forkseam.target.load", s, x -> x.admission().load());
@@ -300,7 +300,7 @@
 
     /** Closes every link to other daemons, as a failing switch would; for tests. */
     public void cutLinks() {
-        mLoop.execute(() -> mLinks.open().forEach(Link::close));
+        mLoop.execute(() -> mLinks.openLinks().forEach(Link::close));
     }
 
     private static void closeAtOnce(Channel channel) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/net/Links.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/net/LinkManager.java
@@ -25,40 +25,40 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Keeps the links to other daemons. This is the one place where the network thread and the event
- * loop meet: everything but the life-cycle is called, and every sink and future completes, on the
- * loop.
+ * Manages the links to other daemons, and hands events from the network thread to the event loop.
+ * Apart from the lifecycle methods, methods must be called on the event loop; listeners are called
+ * and futures complete there too.
  *
  * @since 0.1
  */
-public final class Links implements Service, LinkHandler {
+public final class LinkManager implements Service, LinkHandler {
     /** Name of the service. */
     public static final String NAME = "links";
 
-    /** A link that carries a request is never silent for so long, since its sidecar speaks. */
-    private static final long IDLE_MILLIS = 10_000;
+    /** Exceeds the interval at which sidecars send load notices on links in use. */
+    private static final long IDLE_TIMEOUT_MILLIS = 10_000;
 
-    private static final long TICK_MILLIS = 1_000;
+    private static final long IDLE_CHECK_INTERVAL_MILLIS = 1_000;
 
     private final Eventloop mLoop;
     private final Wire mWire;
     private final InetSocketAddress mListen;
-    private final List<PacketSink> mSinks = new CopyOnWriteArrayList<>();
+    private final List<PacketListener> mListeners = new CopyOnWriteArrayList<>();
     private final Map<String, CompletableFuture<Link>> mOutgoing = new HashMap<>();
     private final Set<Link> mIncoming = new HashSet<>();
 
-    private Links(Eventloop loop, WireSettings settings, InetSocketAddress listen) {
+    private LinkManager(Eventloop loop, WireSettings settings, InetSocketAddress listen) {
         mLoop = loop;
         mWire = Wire.of(settings, this);
         mListen = listen;
     }
 
-    /** Creates the links of a daemon that listens on an address. */
-    public static Links of(Eventloop loop, WireSettings settings, InetSocketAddress listen) {
-        return new Links(loop, settings, listen);
+    /** Creates the link manager of a daemon that listens on an address. */
+    public static LinkManager of(Eventloop loop, WireSettings settings, InetSocketAddress listen) {
+        return new LinkManager(loop, settings, listen);
     }
 
-    // ---------------------------------------------------------------- life-cycle
+    // ---------------------------------------------------------------- lifecycle
 
     @Override
     public String name() {
@@ -80,58 +80,60 @@
     @Override
     public Object dump() {
         List<String> open = new ArrayList<>();
-        open().forEach(l -> open.add(l.toString()));
+        openLinks().forEach(l -> open.add(l.toString()));
         return Map.of("open", open, "listen", mWire.address().toString());
     }
 
-    /** Closes links that nobody uses, or news to random daemons would in time open one to each. */
+    /** Closes idle outgoing links; gossip with random peers would otherwise connect to all. */
     private void closeIdle() {
-        open().stream().filter(Links::isIdle).forEach(Link::close);
-        mLoop.delayBackground(TICK_MILLIS, this::closeIdle);
+        openLinks().stream().filter(LinkManager::isIdle).forEach(Link::close);
+        mLoop.delayBackground(IDLE_CHECK_INTERVAL_MILLIS, this::closeIdle);
     }
 
     private static boolean isIdle(Link link) {
         return link.isOutgoing()
-                && link.silentMillis() > IDLE_MILLIS
-                && link.unsentMillis() > IDLE_MILLIS;
+                && link.silentMillis() > IDLE_TIMEOUT_MILLIS
+                && link.unsentMillis() > IDLE_TIMEOUT_MILLIS;
     }
 
     // ---------------------------------------------------------------- public API
 
-    /** Adds a receiver of packets. */
-    public void addSink(PacketSink sink) {
-        mSinks.add(sink);
+    /** Adds a packet listener. */
+    public void addListener(PacketListener listener) {
+        mListeners.add(listener);
     }
 
-    /** Removes a receiver of packets. */
-    public void removeSink(PacketSink sink) {
-        mSinks.remove(sink);
+    /** Removes a packet listener. */
+    public void removeListener(PacketListener listener) {
+        mListeners.remove(listener);
     }
 
-    /** Returns the address on which other daemons are accepted. */
+    /** Returns the address that other daemons connect to. */
     public InetSocketAddress address() {
         return mWire.address();
     }
 
-    /** Returns what has crossed the links. */
+    /** Returns the traffic counters. */
     public WireCounters counters() {
         return mWire.counters();
     }
 
-    /** Returns the link to an address, opening one if there is none. */
-    public CompletableFuture<Link> to(String address) {
-        CompletableFuture<Link> known = mOutgoing.get(address);
-        if (known != null) {
-            return known;
+    /** Returns the outgoing link to an address, and connects if there is none. */
+    public CompletableFuture<Link> connect(String address) {
+        CompletableFuture<Link> existing = mOutgoing.get(address);
+        if (existing != null) {
+            return existing;
         }
         CompletableFuture<Link> opened = new CompletableFuture<>();
         mOutgoing.put(address, opened);
         mWire.connect(Settings.parseAddress(address))
-                .whenComplete((link, e) -> mLoop.execute(() -> settle(address, opened, link, e)));
+                .whenComplete(
+                        (link, e) ->
+                                mLoop.execute(() -> completeConnect(address, opened, link, e)));
         return opened;
     }
 
-    private void settle(
+    private void completeConnect(
             String address, CompletableFuture<Link> opened, Link link, Throwable failure) {
         if (failure == null && link.isOpen()) {
             opened.complete(link);
@@ -139,11 +141,11 @@
         }
         mOutgoing.remove(address, opened);
         opened.completeExceptionally(
-                failure != null ? failure : new IOException("closed as soon as it opened"));
+                failure != null ? failure : new IOException("link closed right after connecting"));
     }
 
-    /** Returns the links that are open, in both directions. */
-    public Collection<Link> open() {
+    /** Returns all open links, incoming and outgoing. */
+    public Collection<Link> openLinks() {
         List<Link> out = new ArrayList<>(mIncoming);
         for (CompletableFuture<Link> f : mOutgoing.values()) {
             if (f.isDone() && !f.isCompletedExceptionally()) {
@@ -162,7 +164,7 @@
 
     @Override
     public void onClosed(Link link) {
-        mLoop.execute(() -> closed(link));
+        mLoop.execute(() -> removeLink(link));
     }
 
     private void deliver(Link link, List<Packet> packets) {
@@ -170,19 +172,19 @@
             mIncoming.add(link);
         }
         for (Packet p : packets) {
-            for (PacketSink s : mSinks) {
-                s.onPacket(link, p);
+            for (PacketListener l : mListeners) {
+                l.onPacket(link, p);
             }
         }
     }
 
-    private void closed(Link link) {
+    private void removeLink(Link link) {
         mIncoming.remove(link);
         mOutgoing
                 .values()
                 .removeIf(f -> f.isDone() && !f.isCompletedExceptionally() && f.join() == link);
-        for (PacketSink s : mSinks) {
-            s.onClosed(link);
+        for (PacketListener l : mListeners) {
+            l.onClosed(link);
         }
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/net/package-info.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/net/package-info.java
@@ -1,2 +1,2 @@
-/** Links to other daemons, brought onto the daemon's event loop. */
+/** Links to other daemons, served on the daemon's event loop. */
 package org.forkseam.daemon.net;
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderDesk.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderDesk.java
@@ -6,7 +6,7 @@
 import io.activej.http.HttpMethod;
 
 import org.forkseam.core.lease.FenceGuard;
-import org.forkseam.daemon.net.PacketSink;
+import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.daemon.share.LeaseKeeper;
 import org.forkseam.platform.Row;
 import org.forkseam.platform.TableService;
@@ -30,7 +30,7 @@
  *
  * @since 0.1
  */
-public final class OrderDesk implements PacketSink {
+public final class OrderDesk implements PacketListener {
     private static final int OK = 200;
 
     private final Http mHttp;
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
@@ -8,8 +8,8 @@
 import org.forkseam.core.orders.RolloutPlanner;
 import org.forkseam.core.route.TargetView;
 import org.forkseam.core.util.Clock;
-import org.forkseam.daemon.net.Links;
-import org.forkseam.daemon.net.PacketSink;
+import org.forkseam.daemon.net.LinkManager;
+import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.forkseam.daemon.share.LeaseKeeper;
@@ -40,7 +40,7 @@
  *
  * @since 0.1
  */
-public final class Rollouts implements Service, PacketSink {
+public final class Rollouts implements Service, PacketListener {
     /** Name of the service. */
     public static final String NAME = "rollouts";
 
@@ -62,7 +62,7 @@
     public record Parts(
             Fleet fleet,
             FleetSync sync,
-            Links links,
+            LinkManager links,
             TableService table,
             Optional<WeightStore> weights) {}
 
@@ -96,12 +96,12 @@
 
     @Override
     public List<String> needs() {
-        return List.of(Links.NAME, FleetSync.NAME);
+        return List.of(LinkManager.NAME, FleetSync.NAME);
     }
 
     @Override
     public CompletableFuture<Void> start() {
-        mLoop.execute(() -> mParts.links().addSink(this));
+        mLoop.execute(() -> mParts.links().addListener(this));
         mTicker.start();
         return CompletableFuture.completedFuture(null);
     }
@@ -252,7 +252,7 @@
             mAsked.put(id, new Asked(this, target.name(), mClock.nowMillis()));
             Order o = order.setId(id).build();
             mParts.links()
-                    .to(target.address())
+                    .connect(target.address())
                     .thenAccept(l -> l.send(mParts.sync().packet().setOrder(o).build()));
         }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempts.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempts.java
@@ -3,8 +3,8 @@
 import io.activej.eventloop.Eventloop;
 
 import org.forkseam.core.util.Clock;
-import org.forkseam.daemon.net.Links;
-import org.forkseam.daemon.net.PacketSink;
+import org.forkseam.daemon.net.LinkManager;
+import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.forkseam.wire.Link;
@@ -20,7 +20,7 @@
 import java.util.function.Consumer;
 
 /** Passes what sidecars send to the attempts concerned. Used on the event loop. */
-final class Attempts implements PacketSink {
+final class Attempts implements PacketListener {
     /** A sidecar with work of ours that says nothing for so long is taken to be frozen. */
     private static final long SILENT_MILLIS = 4_000;
 
@@ -28,11 +28,11 @@
     private final Clock mClock;
     private final Fleet mFleet;
     private final FleetSync mSync;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final Map<Long, Attempt> mOpen = new HashMap<>();
     private long mNextStream = 1;
 
-    Attempts(Eventloop loop, Clock clock, Fleet fleet, FleetSync sync, Links links) {
+    Attempts(Eventloop loop, Clock clock, Fleet fleet, FleetSync sync, LinkManager links) {
         mLoop = loop;
         mClock = clock;
         mFleet = fleet;
@@ -63,7 +63,7 @@
     }
 
     void connect(String address, Consumer<Link> opened, Consumer<Throwable> failed) {
-        mLinks.to(address)
+        mLinks.connect(address)
                 .whenComplete(
                         (link, e) -> {
                             if (e == null) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/QuotaGate.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/QuotaGate.java
@@ -5,8 +5,8 @@
 import org.forkseam.core.cfg.TeamSpec;
 import org.forkseam.core.route.TargetView;
 import org.forkseam.core.util.Hashes;
-import org.forkseam.daemon.net.Links;
-import org.forkseam.daemon.net.PacketSink;
+import org.forkseam.daemon.net.LinkManager;
+import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.forkseam.wire.Link;
@@ -28,17 +28,17 @@
  * report; only hot teams cost messages. If no grant comes for as long as old ones may hold, the
  * even share is used. Used on the event loop.
  */
-final class QuotaGate implements PacketSink {
+final class QuotaGate implements PacketListener {
     private static final long REPORT_MILLIS = 1_000;
     private static final double SMOOTHING = 0.5;
     private static final double HOT = 0.5;
 
     private final Fleet mFleet;
     private final FleetSync mSync;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final Map<String, Team> mTeams = new HashMap<>();
 
-    QuotaGate(Fleet fleet, FleetSync sync, Links links) {
+    QuotaGate(Fleet fleet, FleetSync sync, LinkManager links) {
         mFleet = fleet;
         mSync = sync;
         mLinks = links;
@@ -86,7 +86,7 @@
         home(team, nowMillis)
                 .ifPresent(
                         h ->
-                                mLinks.to(h.address())
+                                mLinks.connect(h.address())
                                         .thenAccept(
                                                 l ->
                                                         l.send(
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
@@ -19,7 +19,7 @@
 import org.forkseam.core.route.StdPlacement;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
-import org.forkseam.daemon.net.Links;
+import org.forkseam.daemon.net.LinkManager;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.forkseam.daemon.share.Ticker;
@@ -58,7 +58,7 @@
     private final Eventloop mLoop;
     private final Config mConfig;
     private final Fleet mFleet;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final FleetSync mSync;
     private final Attempts mAttempts;
     private final RouterContext mContext;
@@ -91,7 +91,11 @@
 
     /** Holds the services a router works with. */
     public record Parts(
-            Fleet fleet, FleetSync sync, Links links, ClaimStore claims, MeterRegistry registry) {}
+            Fleet fleet,
+            FleetSync sync,
+            LinkManager links,
+            ClaimStore claims,
+            MeterRegistry registry) {}
 
     private Router(
             Eventloop loop, Clock clock, Config config, Parts parts, RandomGenerator random) {
@@ -148,7 +152,7 @@
 
     @Override
     public List<String> needs() {
-        return List.of(Links.NAME, FleetSync.NAME);
+        return List.of(LinkManager.NAME, FleetSync.NAME);
     }
 
     @Override
@@ -156,8 +160,8 @@
         mTicker.start();
         return mLoop.submit(
                 () -> {
-                    mLinks.addSink(mAttempts);
-                    mLinks.addSink(mContext.quotas());
+                    mLinks.addListener(mAttempts);
+                    mLinks.addListener(mContext.quotas());
                     mSync.setDecisions(mContext.decisions());
                     mServer =
                             HttpServer.builder(mLoop, this::serve)
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
@@ -9,8 +9,8 @@
 import org.forkseam.core.member.HostEntry;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
-import org.forkseam.daemon.net.Links;
-import org.forkseam.daemon.net.PacketSink;
+import org.forkseam.daemon.net.LinkManager;
+import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.platform.HostList;
 import org.forkseam.wire.Codec;
 import org.forkseam.wire.Link;
@@ -41,7 +41,7 @@
  *
  * @since 0.1
  */
-public final class FleetSync implements Service, PacketSink {
+public final class FleetSync implements Service, PacketListener {
     /** Name of the service. */
     public static final String NAME = "fleet-sync";
 
@@ -57,7 +57,7 @@
     private final Eventloop mLoop;
     private final Clock mClock;
     private final Fleet mFleet;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final HostList mHostList;
     private final ConfigStore mStore;
     private final RandomGenerator mRandom;
@@ -75,7 +75,7 @@
     public record Pace(long hostListMillis, long configMillis) {}
 
     /** Holds what a daemon's view is kept up to date with. */
-    public record Sources(HostList hostList, ConfigStore store, Links links) {}
+    public record Sources(HostList hostList, ConfigStore store, LinkManager links) {}
 
     private FleetSync(
             Eventloop loop,
@@ -120,7 +120,7 @@
 
     @Override
     public List<String> needs() {
-        return List.of(Links.NAME);
+        return List.of(LinkManager.NAME);
     }
 
     @Override
@@ -128,7 +128,7 @@
         CompletableFuture<Void> started = new CompletableFuture<>();
         mLoop.execute(
                 () -> {
-                    mLinks.addSink(this);
+                    mLinks.addListener(this);
                     readHosts();
                     pollHead();
                     started.complete(null);
@@ -367,7 +367,7 @@
             randomPeer()
                     .ifPresent(
                             h ->
-                                    mLinks.to(h.address())
+                                    mLinks.connect(h.address())
                                             .thenAccept(l -> sendUnless(l, except, packet)));
         }
     }
@@ -385,7 +385,7 @@
         mOwnDigest.get().ifPresent(d -> b.addDigests(Codec.ownToWire(d, now)));
         newest().forEach(d -> b.addDigests(Codec.toWire(d, now)));
         Packet packet = packet().setLoadNotice(b).build();
-        randomPeer().ifPresent(h -> mLinks.to(h.address()).thenAccept(l -> l.send(packet)));
+        randomPeer().ifPresent(h -> mLinks.connect(h.address()).thenAccept(l -> l.send(packet)));
     }
 
     private List<LoadDigest> newest() {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/PeerQuery.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/PeerQuery.java
@@ -3,8 +3,8 @@
 import io.activej.eventloop.Eventloop;
 
 import org.forkseam.core.member.HostEntry;
-import org.forkseam.daemon.net.Links;
-import org.forkseam.daemon.net.PacketSink;
+import org.forkseam.daemon.net.LinkManager;
+import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.wire.Link;
 import org.forkseam.wire.proto.DecisionQuery;
 import org.forkseam.wire.proto.Packet;
@@ -22,34 +22,35 @@
  *
  * @since 0.1
  */
-public final class PeerQuery implements PacketSink {
+public final class PeerQuery implements PacketListener {
     private final Eventloop mLoop;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final Supplier<Packet.Builder> mPackets;
     private final long mId = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
     private final Map<String, Packet> mReplies = new HashMap<>();
     private final CompletableFuture<Map<String, Packet>> mDone = new CompletableFuture<>();
     private int mWaiting;
 
-    private PeerQuery(Eventloop loop, Links links, Supplier<Packet.Builder> packets) {
+    private PeerQuery(Eventloop loop, LinkManager links, Supplier<Packet.Builder> packets) {
         mLoop = loop;
         mLinks = links;
         mPackets = packets;
     }
 
     /** Creates one question. */
-    public static PeerQuery of(Eventloop loop, Links links, Supplier<Packet.Builder> packets) {
+    public static PeerQuery of(
+            Eventloop loop, LinkManager links, Supplier<Packet.Builder> packets) {
         return new PeerQuery(loop, links, packets);
     }
 
     /** Sends the question and returns the replies by host. */
     public CompletableFuture<Map<String, Packet>> ask(
             String requestId, Collection<HostEntry> hosts, long withinMillis) {
-        mLinks.addSink(this);
+        mLinks.addListener(this);
         DecisionQuery q = DecisionQuery.newBuilder().setQuery(mId).setRequestId(requestId).build();
         mWaiting = hosts.size();
         for (HostEntry h : hosts) {
-            mLinks.to(h.address())
+            mLinks.connect(h.address())
                     .whenComplete(
                             (link, e) -> {
                                 if (e == null) {
@@ -60,7 +61,7 @@
                             });
         }
         mLoop.delay(withinMillis, () -> mDone.complete(mReplies));
-        return mDone.whenComplete((r, e) -> mLinks.removeSink(this));
+        return mDone.whenComplete((r, e) -> mLinks.removeListener(this));
     }
 
     private void oneLess() {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/QuotaCoordinator.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/QuotaCoordinator.java
@@ -2,7 +2,7 @@
 
 import org.forkseam.core.admit.QuotaShares;
 import org.forkseam.core.util.Clock;
-import org.forkseam.daemon.net.PacketSink;
+import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.forkseam.wire.Link;
@@ -17,7 +17,7 @@
  * Splits the quotas of heavily used teams that hash to this target among the routers that report
  * demand. Not thread-safe; used on the event loop.
  */
-final class QuotaCoordinator implements PacketSink {
+final class QuotaCoordinator implements PacketListener {
     private final Fleet mFleet;
     private final FleetSync mSync;
     private final Clock mClock;
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
@@ -11,8 +11,8 @@
 import org.forkseam.core.route.TargetView;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
-import org.forkseam.daemon.net.Links;
-import org.forkseam.daemon.net.PacketSink;
+import org.forkseam.daemon.net.LinkManager;
+import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.daemon.share.DigestCarrier;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
@@ -47,7 +47,7 @@
  * @since 0.1
  */
 public final class Sidecar
-        implements Service, PacketSink, Exchange.Owner, AdmissionController.Listener<Exchange> {
+        implements Service, PacketListener, Exchange.Owner, AdmissionController.Listener<Exchange> {
     /** Name of the service. */
     public static final String NAME = "sidecar";
 
@@ -60,7 +60,7 @@
     private final Config mConfig;
     private final Fleet mFleet;
     private final FleetSync mSync;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final TargetClient mTarget;
     private final UnrepeatableExecutor mUnrepeatableExecutor;
     private final Optional<CacheLifetimeEstimator> mCacheLifetime;
@@ -89,7 +89,7 @@
     public record Dependencies(
             Fleet fleet,
             FleetSync sync,
-            Links links,
+            LinkManager links,
             TargetClient target,
             ClaimManager claims,
             Optional<CacheLifetimeEstimator> cacheLifetime,
@@ -146,7 +146,7 @@
 
     @Override
     public List<String> needs() {
-        return List.of(Links.NAME, FleetSync.NAME);
+        return List.of(LinkManager.NAME, FleetSync.NAME);
     }
 
     @Override
@@ -154,8 +154,8 @@
         CompletableFuture<Void> started = new CompletableFuture<>();
         mLoop.execute(
                 () -> {
-                    mLinks.addSink(this);
-                    mLinks.addSink(new QuotaCoordinator(mFleet, mSync, mClock));
+                    mLinks.addListener(this);
+                    mLinks.addListener(new QuotaCoordinator(mFleet, mSync, mClock));
                     mSync.setDecisions(mDecisions);
                     mSync.setOwnDigest(() -> Optional.of(mAdmission.digest()));
                     mFleet.addListener(this::onFleetChanged);
@@ -191,7 +191,7 @@
                 mConfig.target(),
                 leaving,
                 mAdmission.load());
-        mLinks.open().forEach(this::sendLoadNotice);
+        mLinks.openLinks().forEach(this::sendLoadNotice);
     }
 
     private long cacheLifetimeMillis() {
