--- a/forkseam-bench/src/main/java/org/forkseam/bench/LocalFleet.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/LocalFleet.java
@@ -182,7 +182,7 @@
         mSettings.put(host, settings);
         try {
             long seed = mSeed * 31 + host.hashCode();
-            Daemon d = Daemon.of(Settings.check(host, settings), new SplittableRandom(seed));
+            Daemon d = Daemon.of(Settings.validate(host, settings), new SplittableRandom(seed));
             d.start();
             return d;
         } catch (SettingsException e) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
@@ -82,8 +82,11 @@
         mRandom = random;
         mIncarnation = mClock.nowMillis();
         mLoop = Eventloop.builder().withThreadName("loop-" + host()).build();
-        mKernel = Kernel.of(settings.integer(SettingKey.STOP_MILLIS));
-        mHttp = Http.of(mLoop, Duration.ofMillis(settings.integer(SettingKey.PLATFORM_MILLIS)));
+        mKernel = Kernel.of(settings.integer(SettingKey.DRAIN_TIMEOUT_MILLIS));
+        mHttp =
+                Http.of(
+                        mLoop,
+                        Duration.ofMillis(settings.integer(SettingKey.PLATFORM_TIMEOUT_MILLIS)));
         mTable = HttpTableService.of(mHttp, settings.text(SettingKey.TABLE_SERVICE));
         mConfigStore =
                 ConfigStore.of(
@@ -135,8 +138,8 @@
                         mConfigStore,
                         mLinks),
                 new FleetSync.Pace(
-                        mSettings.integer(SettingKey.HOST_LIST_MILLIS),
-                        mSettings.integer(SettingKey.CONFIG_MILLIS)),
+                        mSettings.integer(SettingKey.HOST_LIST_INTERVAL_MILLIS),
+                        mSettings.integer(SettingKey.CONFIG_INTERVAL_MILLIS)),
                 host(),
                 mRandom);
     }
@@ -185,7 +188,7 @@
                         mIncarnation,
                         mSettings.address(SettingKey.CALLERS_LISTEN),
                         mSettings.integer(SettingKey.MAX_BODY_BYTES),
-                        Duration.ofMillis(mSettings.integer(SettingKey.REQUEST_MILLIS)),
+                        Duration.ofMillis(mSettings.integer(SettingKey.REQUEST_TIMEOUT_MILLIS)),
                         mSettings.text(SettingKey.TICKET_KEY),
                         mSettings.text(SettingKey.PLACEMENT));
         Router.Parts parts =
@@ -200,7 +203,7 @@
                         target,
                         mSettings.integer(SettingKey.TARGET_CAPACITY),
                         mIncarnation,
-                        mSettings.integer(SettingKey.ANSWERS_BYTES));
+                        mSettings.integer(SettingKey.RETAINED_RESPONSE_BYTES));
         Sidecar.Dependencies parts =
                 new Sidecar.Dependencies(
                         mFleet,
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/DaemonMain.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/DaemonMain.java
@@ -59,7 +59,7 @@
         try {
             settings = Settings.read(mFile);
         } catch (SettingsException e) {
-            e.faults().forEach(System.err::println);
+            e.errors().forEach(System.err::println);
             return EXIT_USAGE;
         }
         if (mCheck) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/cfg/SettingType.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/cfg/SettingType.java
@@ -5,13 +5,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Says which values a setting may have.
+ * Type of a setting: defines which values are valid.
  *
- * @param allowed the rule in words
- * @param isSecret whether the value must never be shown
- * @param rule the rule itself
+ * @param allowed description of the valid values, for error messages
+ * @param isSecret whether the value must be redacted in output
+ * @param validator tests whether a value is valid
  */
-public record SettingType(String allowed, boolean isSecret, Predicate<String> rule) {
+public record SettingType(String allowed, boolean isSecret, Predicate<String> validator) {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,62}");
     private static final Pattern ADDRESS =
             Pattern.compile("([0-9]{1,3}(\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:]+\\]):([0-9]{1,5})");
@@ -54,7 +54,7 @@
         return new SettingType(
                 "a whole number from " + min + " to " + max,
                 false,
-                v -> v.matches("[0-9]{1,15}") && between(Long.parseLong(v), min, max));
+                v -> v.matches("[0-9]{1,15}") && isBetween(Long.parseLong(v), min, max));
     }
 
     static SettingType oneOf(String... values) {
@@ -62,7 +62,7 @@
         return new SettingType("one of " + String.join(", ", all), false, all::contains);
     }
 
-    private static boolean between(long v, long min, long max) {
+    private static boolean isBetween(long v, long min, long max) {
         return v >= min && v <= max;
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/cfg/Settings.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/cfg/Settings.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 
 /**
- * Holds a daemon's settings, all checked. Immutable.
+ * Validated settings of a daemon. Immutable.
  *
  * @since 0.1
  */
@@ -30,15 +30,15 @@
     }
 
     /**
-     * Reads and checks a settings file.
+     * Reads and validates a settings file.
      *
-     * @throws SettingsException with one line for each fault
+     * @throws SettingsException with one line per error
      */
     public static Settings read(Path file) throws SettingsException {
         try (Reader in = Files.newBufferedReader(file)) {
             INIConfiguration ini = new INIConfiguration();
             ini.read(in);
-            return check(file.toString(), sections(ini));
+            return validate(file.toString(), sections(ini));
         } catch (IOException | ConfigurationException e) {
             throw new SettingsException(
                     List.of(
@@ -50,14 +50,14 @@
     }
 
     /**
-     * Checks settings given as sections of keys.
+     * Validates settings given as sections of keys.
      *
-     * @param place names the source in messages
-     * @throws SettingsException with one line for each fault
+     * @param source name of the source, for error messages
+     * @throws SettingsException with one line per error
      */
-    public static Settings check(String place, Map<String, Map<String, String>> sections)
+    public static Settings validate(String source, Map<String, Map<String, String>> sections)
             throws SettingsException {
-        return new Checker(place, sections).check();
+        return new Validator(source, sections).validate();
     }
 
     private static Map<String, Map<String, String>> sections(INIConfiguration ini) {
@@ -76,12 +76,12 @@
 
     // ---------------------------------------------------------------- accessors
 
-    /** Returns a value as text. */
+    /** Returns a value as a string. */
     public String text(SettingKey key) {
         return mValues.get(key);
     }
 
-    /** Returns a value as a whole number. */
+    /** Returns a value as an integer. */
     public int integer(SettingKey key) {
         return Integer.parseInt(mValues.get(key));
     }
@@ -91,7 +91,7 @@
         return parseAddress(mValues.get(key));
     }
 
-    /** Returns a value that may have been left empty. */
+    /** Returns a value, or empty if it is empty or not set. */
     public Optional<String> optional(SettingKey key) {
         return Optional.ofNullable(mValues.get(key)).filter(v -> !v.isEmpty());
     }
@@ -101,7 +101,7 @@
         return "router".equals(mValues.get(SettingKey.ROLE));
     }
 
-    /** Returns all settings for a state dump, without secrets. */
+    /** Returns all settings for a state dump, with secrets redacted. */
     public Map<String, String> dump() {
         Map<String, String> out = new TreeMap<>();
         mValues.forEach(
@@ -110,68 +110,68 @@
         return out;
     }
 
-    /** Reads {@code ip:port}. */
+    /** Parses an {@code ip:port} address. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String ip = text.substring(0, colon).replace("[", "").replace("]", "");
         return new InetSocketAddress(ip, Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** Checks one file's sections against {@link SettingKey}. */
-    private static final class Checker {
-        private final String mPlace;
+    /** Validates sections against {@link SettingKey}. */
+    private static final class Validator {
+        private final String mSource;
         private final Map<String, Map<String, String>> mSections;
-        private final List<String> mFaults = new ArrayList<>();
+        private final List<String> mErrors = new ArrayList<>();
 
-        Checker(String place, Map<String, Map<String, String>> sections) {
-            mPlace = place;
+        Validator(String source, Map<String, Map<String, String>> sections) {
+            mSource = source;
             mSections = sections;
         }
 
-        Settings check() throws SettingsException {
+        Settings validate() throws SettingsException {
             String role = mSections.getOrDefault("daemon", Map.of()).getOrDefault("role", "");
             Map<SettingKey, String> values = new EnumMap<>(SettingKey.class);
-            boolean roleKnown = SettingKey.ROLE.type().rule().test(role);
+            boolean roleKnown = SettingKey.ROLE.type().validator().test(role);
             for (SettingKey k : SettingKey.values()) {
-                if (k == SettingKey.ROLE || (roleKnown && k.isOf(role))) {
+                if (k == SettingKey.ROLE || (roleKnown && k.appliesTo(role))) {
                     read(k, values);
                 }
             }
             if (roleKnown) {
-                findUnknown(role);
+                rejectUnknown(role);
             }
-            if (!mFaults.isEmpty()) {
-                throw new SettingsException(mFaults);
+            if (!mErrors.isEmpty()) {
+                throw new SettingsException(mErrors);
             }
             return new Settings(values);
         }
 
         private void read(SettingKey k, Map<SettingKey, String> values) {
             String v = mSections.getOrDefault(k.section(), Map.of()).get(k.key());
-            if (v == null && k.preset() == null) {
-                fault(k.section(), k.key(), "is missing", k.type().allowed());
-            } else if (v != null && !k.type().rule().test(v)) {
+            if (v == null && k.defaultValue() == null) {
+                addError(k.section(), k.key(), "is missing", k.type().allowed());
+            } else if (v != null && !k.type().validator().test(v)) {
                 String shown = k.type().isSecret() ? "(secret)" : v;
-                fault(k.section(), k.key(), "= " + shown, k.type().allowed());
+                addError(k.section(), k.key(), "= " + shown, k.type().allowed());
             } else {
-                values.put(k, v == null ? k.preset() : v);
+                values.put(k, v == null ? k.defaultValue() : v);
             }
         }
 
-        private void findUnknown(String role) {
+        private void rejectUnknown(String role) {
             mSections.forEach(
                     (section, keys) -> {
                         List<String> known = keysOf(section, role);
                         if (known.isEmpty()) {
                             String all = String.join(", ", sectionsOf(role));
-                            fault(section, "", "is an unknown section for a " + role, all);
+                            addError(section, "", "is an unknown section for a " + role, all);
                             return;
                         }
                         keys.keySet().stream()
                                 .filter(k -> !known.contains(k))
                                 .forEach(
                                         k ->
-                                                fault(
+                                                addError(
                                                         section,
                                                         k,
                                                         "is an unknown key for a " + role,
@@ -182,7 +182,7 @@
         private static List<String> keysOf(String section, String role) {
             List<String> out = new ArrayList<>();
             for (SettingKey k : SettingKey.values()) {
-                if (k.section().equals(section) && k.isOf(role)) {
+                if (k.section().equals(section) && k.appliesTo(role)) {
                     out.add(k.key());
                 }
             }
@@ -192,16 +192,17 @@
         private static List<String> sectionsOf(String role) {
             List<String> out = new ArrayList<>();
             for (SettingKey k : SettingKey.values()) {
-                if (k.isOf(role) && !out.contains(k.section())) {
+                if (k.appliesTo(role) && !out.contains(k.section())) {
                     out.add(k.section());
                 }
             }
             return out;
         }
 
-        private void fault(String section, String key, String what, String allowed) {
+        private void addError(String section, String key, String what, String allowed) {
             String at = key.isEmpty() ? "" : " " + key;
-            mFaults.add(mPlace + ": [" + section + "]" + at + " " + what + "; allowed: " + allowed);
+            mErrors.add(
+                    mSource + ": [" + section + "]" + at + " " + what + "; allowed: " + allowed);
         }
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/cfg/SettingsException.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/cfg/SettingsException.java
@@ -2,20 +2,20 @@
 
 import java.util.List;
 
-/** Reports all faults of a settings file at once. */
+/** Thrown if settings are invalid; lists all errors. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final transient List<String> mFaults;
+    private final transient List<String> mErrors;
 
-    /** Holds one line for each fault. */
-    public SettingsException(List<String> faults) {
-        super(String.join("\n", faults));
-        mFaults = List.copyOf(faults);
+    /** Creates an exception with one line per error. */
+    public SettingsException(List<String> errors) {
+        super(String.join("\n", errors));
+        mErrors = List.copyOf(errors);
     }
 
-    /** Returns one line for each fault. */
-    public List<String> faults() {
-        return mFaults;
+    /** Returns one line per error. */
+    public List<String> errors() {
+        return mErrors;
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/cfg/package-info.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/cfg/package-info.java
@@ -1,2 +1,2 @@
-/** Checked settings of a daemon, read from INI. */
+/** Settings of a daemon, read from an INI file and validated. */
 package org.forkseam.daemon.cfg;
--- a/forkseam-daemon/src/test/java/org/forkseam/daemon/cfg/SettingsTest.java
+++ b/forkseam-daemon/src/test/java/org/forkseam/daemon/cfg/SettingsTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Every setting is checked at start, and each fault is told on one line. */
+/** Guards against invalid settings passing validation and secrets leaking into output. */
 class SettingsTest {
     private static final Path SAMPLES = Path.of("..", "samples");
 
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void samplesOfBothUsersAreValid() throws Exception {
+    void sampleSettingsAreValid() throws Exception {
         try (Stream<Path> files = Files.walk(SAMPLES)) {
             List<Path> all =
                     files.filter(f -> f.toString().endsWith(".ini"))
@@ -61,15 +61,15 @@
                 "change-this-wire-key|short|[wire] key = (secret); allowed: a key",
                 "http://10.0.0.4|ftp://10.0.0.4|[platform] host-list = ftp"
             })
-    void faultIsTold(String from, String to, String message) throws Exception {
+    void invalidSettingIsReported(String from, String to, String message) throws Exception {
         String text = sample().replace(from.trim(), to.trim());
         SettingsException e = assertThrows(SettingsException.class, () -> read(text));
-        assertThat(e.faults().stream().anyMatch(f -> f.contains(message.trim()))).isTrue();
+        assertThat(e.errors().stream().anyMatch(f -> f.contains(message.trim()))).isTrue();
         assertThat(e.getMessage()).doesNotContain("short;");
     }
 
     @Test
-    void callersSectionIsNoneOfASidecars() throws Exception {
+    void callersSectionIsRejectedForSidecar() throws Exception {
         String text = sample() + "[callers]\nlisten = 1.2.3.4:1\n";
         SettingsException e = assertThrows(SettingsException.class, () -> read(text));
         assertThat(e).hasMessageThat().contains("[callers] is an unknown section for a sidecar");
