--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public List<String> needs() {
+    public List<String> dependencies() {
         return List.of(LinkManager.NAME, FleetSync.NAME);
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempts.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempts.java
@@ -103,7 +103,7 @@
                 of(link, p.getRefusal().getStream()).ifPresent(a -> a.onRefusal(p.getRefusal()));
             }
             default -> {
-                // The other sinks' concern.
+                // Handled by other listeners.
             }
         }
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public List<String> needs() {
+    public List<String> dependencies() {
         return List.of(LinkManager.NAME);
     }
 
@@ -284,7 +284,7 @@
                                             DecisionReplies.to(p.getDecisionQuery(), mDecisions))
                                     .build());
             default -> {
-                // The other sinks' concern.
+                // Handled by other listeners.
             }
         }
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public List<String> needs() {
+    public List<String> dependencies() {
         return List.of(LinkManager.NAME, FleetSync.NAME);
     }
 
@@ -217,7 +217,7 @@
         m.put("answers_kept", mExchanges.size());
         m.put("answer_bytes_kept", mExchanges.retainedBytes());
         m.put("counters", mCounters.dump());
-        m.put("decisions", mDecisions.newest(50));
+        m.put("decisions", mDecisions.latest(50));
         return m;
     }
 
@@ -454,7 +454,7 @@
     @Override
     public void onAdmitted(Exchange e) {
         if (!e.request().getUnrepeatable()) {
-            mDecisions.note(e.request().getRequestId(), "started", mConfig.target());
+            mDecisions.add(e.request().getRequestId(), "started", mConfig.target());
             e.send(mTarget, mClock.nowMillis());
             return;
         }
@@ -464,7 +464,7 @@
     @Override
     public void onRefused(Exchange e, Refused why) {
         mCounters.onRefused(why.reason());
-        mDecisions.note(e.request().getRequestId(), "refused " + why.reason(), mConfig.target());
+        mDecisions.add(e.request().getRequestId(), "refused " + why.reason(), mConfig.target());
         e.refuse(why);
     }
 
@@ -476,7 +476,7 @@
         if (ran) {
             mAdmission.release(Math.max(1, mClock.nowMillis() - e.startedMillis()));
             mCounters.onServed(e.usage());
-            mDecisions.note(e.request().getRequestId(), "ended " + e.state(), mConfig.target());
+            mDecisions.add(e.request().getRequestId(), "ended " + e.state(), mConfig.target());
         }
         if (ran) {
             mUnrepeatableExecutor.onEnded(e);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
@@ -8,31 +8,31 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 
 import org.forkseam.core.member.Target;
-import org.forkseam.direct.io.AnswerListener;
-import org.forkseam.direct.io.BreakKind;
-import org.forkseam.direct.io.ConnectionUser;
+import org.forkseam.direct.io.ConnectionCallback;
 import org.forkseam.direct.io.EventSplitter;
+import org.forkseam.direct.io.ExchangeFailure;
 import org.forkseam.direct.io.HttpConnection;
-import org.forkseam.direct.spi.AnswerHead;
+import org.forkseam.direct.io.ResponseListener;
+import org.forkseam.direct.spi.ResponseHead;
 
 import java.util.function.Supplier;
 
 /**
- * Carries a request to one target and brings what comes back. Used on the event loop.
+ * Sends a request to one target and receives the response. Used on the event loop.
  *
- * <p>An answer with a success on a streaming route is passed on event by event; any other is kept
- * until it is whole, so that a broken one can be replaced.
+ * <p>Successful responses on streaming routes are forwarded event by event. All other responses are
+ * buffered until complete, so that a failed one can be replaced by a retry.
  */
-final class Attempt implements ConnectionUser, AnswerListener {
-    /** An answer larger than this is taken for a fault of the target. */
+final class Attempt implements ConnectionCallback, ResponseListener {
+    /** Larger response bodies count as malformed. */
     private static final int MAX_BODY_BYTES = 16 << 20;
 
     /**
-     * A connection that brings nothing for so long may have been cut off without a word. The others
-     * to its target that are idle are opened anew then, at some 1 ms each; one that was cut off
-     * costs a request its whole time.
+     * If an attempt is cancelled without any response for this long, the network may have silently
+     * dropped the connection. Idle connections to the same target are then closed, since they may
+     * be affected too.
      */
-    private static final long CUT_OFF_MILLIS = 400;
+    private static final long SILENT_CONNECTION_MILLIS = 400;
 
     private final RouterContext mContext;
     private final Target mTarget;
@@ -44,12 +44,12 @@
     private final long mStarted;
     private HttpConnection mConnection;
     private HttpResponse mHead;
-    private AnswerHead mDecoded;
+    private ResponseHead mDecodedHead;
     private ByteBuf mBody = Unpooled.EMPTY_BUFFER;
-    private boolean mPassing;
+    private boolean mStreamStarted;
     private boolean mEnded;
     private long mSentAt;
-    private long mHeardAt;
+    private long mLastReceivedAt;
     private long mHeadAt;
 
     Attempt(
@@ -68,24 +68,26 @@
         mStarted = context.now();
     }
 
-    /** Begins: a connection, then the request. */
+    /** Acquires a connection and sends the request. */
     void start(long maxIdleMillis) {
         mTarget.onSent(mStarted);
-        mContext.targets().pool(mTarget).acquire(maxIdleMillis, this);
+        mContext.targetConnections().pool(mTarget).acquire(maxIdleMillis, this);
     }
 
-    /** Ends the attempt: the target sees its connection close. Nothing is told any more. */
+    /** Cancels the attempt and closes its connection. The listener is not called any more. */
     void cancel() {
         if (mEnded) {
             return;
         }
         mEnded = true;
         mTarget.onEnded();
-        if (isSent() && mHeardAt == 0 && mContext.now() - mSentAt > CUT_OFF_MILLIS) {
-            mContext.targets().pool(mTarget).closeIdleSince(mSentAt);
+        if (isSent()
+                && mLastReceivedAt == 0
+                && mContext.now() - mSentAt > SILENT_CONNECTION_MILLIS) {
+            mContext.targetConnections().pool(mTarget).closeIdleSince(mSentAt);
         }
         if (mConnection != null) {
-            mConnection.abandon();
+            mConnection.abort();
         }
     }
 
@@ -111,13 +113,13 @@
         return mSplitter;
     }
 
-    /** Returns for how long the target has sent nothing for this request. */
+    /** Returns how long the target has sent nothing for this request. */
     long silentMillis(long now) {
-        return isSent() ? now - Math.max(mSentAt, mHeardAt) : 0;
+        return isSent() ? now - Math.max(mSentAt, mLastReceivedAt) : 0;
     }
 
-    /** Returns for how long the target has been bringing its answer. */
-    long answeringMillis(long now) {
+    /** Returns the time since the response head arrived, or 0 before it. */
+    long respondingMillis(long now) {
         return mHeadAt == 0 ? 0 : now - mHeadAt;
     }
 
@@ -125,9 +127,9 @@
         return now - mStarted;
     }
 
-    void setReading(boolean reading) {
+    void setAutoRead(boolean autoRead) {
         if (mConnection != null && !mEnded) {
-            mConnection.setReading(reading);
+            mConnection.setAutoRead(autoRead);
         }
     }
 
@@ -136,92 +138,101 @@
     @Override
     public void onConnection(HttpConnection c) {
         if (mEnded) {
-            c.giveBack();
+            c.release();
             return;
         }
         mConnection = c;
-        if (mContext.lag().isBehind()) {
-            mContext.intake().afterReads(this::send);
+        if (mContext.loopLag().isOverloaded()) {
+            mContext.requestQueue().runAfterReads(this::send);
         } else {
             send();
         }
     }
 
-    /** A turn of a loop that is behind takes long: the caller's close may have been read in it. */
+    /**
+     * Sends the request unless it is no longer needed: on an overloaded event loop, the caller may
+     * have disconnected since the connection was acquired.
+     */
     private void send() {
         if (mEnded) {
             return;
         }
         if (mListener.isDone()) {
-            mConnection.giveBack();
+            mConnection.release();
             mConnection = null;
             cancel();
             return;
         }
         long now = mContext.now();
         if (!mConnection.isUsable()) {
-            giveUp(AttemptEnd.Kind.UNREACHABLE, "closed meanwhile");
+            endUnsent(
+                    AttemptResult.Kind.UNREACHABLE,
+                    "connection was closed before the request was sent");
             return;
         }
         if (!mTarget.takesWork(now)) {
-            giveUp(AttemptEnd.Kind.WITHDRAWN, "the target takes no work any more");
+            endUnsent(
+                    AttemptResult.Kind.WITHDRAWN,
+                    "target stopped accepting requests before the request was sent");
             return;
         }
         if (!mListener.maySend()) {
-            giveUp(AttemptEnd.Kind.WITHDRAWN, "the request may not be sent any more");
+            endUnsent(AttemptResult.Kind.WITHDRAWN, "request was quarantined before it was sent");
             return;
         }
         mSentAt = now;
-        mConnection.send(mRequest.get(), this::belongs, this);
+        mConnection.send(mRequest.get(), this::matchesRequest, this);
     }
 
-    private void giveUp(AttemptEnd.Kind kind, String why) {
-        mConnection.giveBack();
-        end(AttemptEnd.of(kind, why));
+    private void endUnsent(AttemptResult.Kind kind, String detail) {
+        mConnection.release();
+        end(AttemptResult.of(kind, detail));
     }
 
     @Override
-    public void onNone(BreakKind kind, String detail) {
-        end(AttemptEnd.of(kind, detail));
+    public void onConnectionFailed(ExchangeFailure failure, String detail) {
+        end(AttemptResult.of(failure, detail));
     }
 
     /**
-     * Tells whether an answer is this request's: only refusals may come without an id. Asked of
-     * each head before it is brought, so that it is decoded once.
+     * Returns whether a response belongs to this request; only error responses may lack a request
+     * id. Called once per response head, before {@link #onHead}, and stores the decoded head.
      */
-    private boolean belongs(HttpResponse r) {
-        mDecoded = mContext.protocol().decode(r);
-        if (mDecoded.requestId().isPresent()) {
-            return mDecoded.requestId().get().equals(mRequestId);
+    private boolean matchesRequest(HttpResponse r) {
+        mDecodedHead = mContext.headerCodec().decode(r);
+        if (mDecodedHead.requestId().isPresent()) {
+            return mDecodedHead.requestId().get().equals(mRequestId);
         }
         return r.status().codeClass() != HttpStatusClass.SUCCESS;
     }
 
-    // ---------------------------------------------------------------- answer
+    // ---------------------------------------------------------------- response
 
     @Override
     public void onHead(HttpResponse head) {
-        heard();
+        onReceived();
         mHeadAt = mContext.now();
         mHead = head;
-        mContext.knowledge().signals().onAnswer(mTarget, mDecoded);
-        mDecoded.load().ifPresent(l -> mTarget.onLoad(l, mContext.now()));
-        mDecoded.keepMillis().ifPresent(k -> mConnection.keepAtMost(k - keepMargin(k)));
+        mContext.knowledge().signals().onAnswer(mTarget, mDecodedHead);
+        mDecodedHead.load().ifPresent(l -> mTarget.onLoad(l, mContext.now()));
+        mDecodedHead
+                .keepAliveMillis()
+                .ifPresent(k -> mConnection.limitIdleMillis(k - idleMarginMillis(k)));
     }
 
-    /** An idle connection is given up somewhat before its server would close it. */
-    private static long keepMargin(long keepMillis) {
-        return Math.min(500, keepMillis / 4);
+    /** Returns how long before the server's keep-alive timeout an idle connection is dropped. */
+    private static long idleMarginMillis(long keepAliveMillis) {
+        return Math.min(500, keepAliveMillis / 4);
     }
 
-    private void heard() {
-        mHeardAt = mContext.now();
-        mTarget.onHeard(mHeardAt);
+    private void onReceived() {
+        mLastReceivedAt = mContext.now();
+        mTarget.onHeard(mLastReceivedAt);
     }
 
     @Override
     public void onBody(ByteBuf bytes) {
-        heard();
+        onReceived();
         if (mEnded) {
             return;
         }
@@ -234,35 +245,37 @@
                         ? Unpooled.copiedBuffer(mBody, bytes)
                         : Unpooled.copiedBuffer(bytes);
         if (mBody.readableBytes() > MAX_BODY_BYTES) {
-            mConnection.abandon();
-            end(AttemptEnd.of(AttemptEnd.Kind.MALFORMED, "body over " + MAX_BODY_BYTES));
+            mConnection.abort();
+            end(
+                    AttemptResult.of(
+                            AttemptResult.Kind.MALFORMED,
+                            "response body exceeds byte limit " + MAX_BODY_BYTES));
         }
     }
 
     /**
-     * Passes on the events that have come together: on a busy router one write carries many, which
-     * saves most of what a stream costs.
+     * Forwards all complete events of one read in a single write, which reduces the cost per event.
      */
     @Override
     public void onReadComplete() {
         if (mEnded || !mStream || mHead == null || !isSuccess()) {
             return;
         }
-        ByteBuf events = mSplitter.takeWhole();
+        ByteBuf events = mSplitter.takeCompleteEvents();
         if (!events.isReadable()) {
             return;
         }
-        if (!mPassing) {
-            mPassing = true;
-            mListener.onStream(this);
+        if (!mStreamStarted) {
+            mStreamStarted = true;
+            mListener.onStreamStarted(this);
         }
         if (!mEnded) {
             mListener.onEvents(this, events);
         }
     }
 
-    /** Returns whether the target answered without having begun the request, as far as it tells. */
-    boolean isTurnedAway() {
+    /** Returns whether the target rejected the request with 429. */
+    boolean isRateLimited() {
         return mHead.status().code() == HttpResponseStatus.TOO_MANY_REQUESTS.code();
     }
 
@@ -271,50 +284,52 @@
     }
 
     @Override
-    public void onEnd() {
+    public void onComplete() {
         onReadComplete();
         mConnection = null;
         if (mEnded) {
             return;
         }
-        if (mStream && isSuccess() && mSplitter.isHolding()) {
-            end(AttemptEnd.of(AttemptEnd.Kind.BROKEN, "ended within an event"));
+        if (mStream && isSuccess() && mSplitter.hasPartialEvent()) {
+            end(
+                    AttemptResult.of(
+                            AttemptResult.Kind.BROKEN, "stream ended in the middle of an event"));
             return;
         }
-        if (mStream && isSuccess() && !mPassing) {
-            mPassing = true;
-            mListener.onStream(this);
+        if (mStream && isSuccess() && !mStreamStarted) {
+            mStreamStarted = true;
+            mListener.onStreamStarted(this);
         }
-        end(judge());
+        end(classify());
     }
 
-    private AttemptEnd judge() {
+    private AttemptResult classify() {
         int status = mHead.status().code();
-        if (mDecoded.wrongTarget()) {
-            return AttemptEnd.of(AttemptEnd.Kind.WRONG_TARGET, "status " + status);
+        if (mDecodedHead.wrongTarget()) {
+            return AttemptResult.of(AttemptResult.Kind.WRONG_TARGET, "status " + status);
         }
-        if (mDecoded.notRun()) {
-            return AttemptEnd.of(AttemptEnd.Kind.REFUSED, "status " + status);
+        if (mDecodedHead.notRun()) {
+            return AttemptResult.of(AttemptResult.Kind.REFUSED, "status " + status);
         }
         if (mHead.status().codeClass() == HttpStatusClass.SERVER_ERROR) {
-            return AttemptEnd.of(AttemptEnd.Kind.FAILED, "status " + status);
+            return AttemptResult.of(AttemptResult.Kind.FAILED, "status " + status);
         }
-        return AttemptEnd.of(AttemptEnd.Kind.ANSWERED, "status " + status);
+        return AttemptResult.of(AttemptResult.Kind.ANSWERED, "status " + status);
     }
 
     @Override
-    public void onBroken(BreakKind kind, String detail) {
+    public void onExchangeFailed(ExchangeFailure failure, String detail) {
         onReadComplete();
         mConnection = null;
-        end(AttemptEnd.of(kind, detail));
+        end(AttemptResult.of(failure, detail));
     }
 
-    private void end(AttemptEnd end) {
+    private void end(AttemptResult result) {
         if (mEnded) {
             return;
         }
         mEnded = true;
         mTarget.onEnded();
-        mListener.onEnd(this, end);
+        mListener.onAttemptEnded(this, result);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerConnection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerConnection.java
@@ -18,18 +18,19 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 import org.forkseam.core.traffic.CallerLimits;
-import org.forkseam.direct.io.Chunks;
+import org.forkseam.direct.io.ChunkEncoder;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 
 /**
- * Is one caller's connection: reads requests whole, one after another, and writes their answers.
+ * A connection from a caller: reads complete requests one after another and writes their responses.
+ * Used on the event loop.
  *
- * <p>A connection that ends takes its request with it. Used on the event loop.
+ * <p>If the connection closes, its active request is cancelled.
  */
-final class CallerConnection extends ChannelDuplexHandler implements CallerSink {
-    /** Requests sent ahead of their answers that are kept; a caller with more is held up. */
+final class CallerConnection extends ChannelDuplexHandler implements ResponseSink {
+    /** Maximum number of pipelined requests; reading pauses when it is reached. */
     private static final int MAX_QUEUED = 16;
 
     private final RouterContext mContext;
@@ -41,13 +42,13 @@
     private boolean mClosing;
     private boolean mBodiless;
     private long mLastUse;
-    private long mHeadSince;
+    private long mRequestStartedAt;
     private Arrival mArrival;
 
     /**
      * Creates a connection.
      *
-     * @param arrival when it came, with its first request
+     * @param arrival arrival of the connection and its first request
      */
     CallerConnection(RouterContext context, Arrival arrival) {
         mContext = context;
@@ -64,12 +65,14 @@
         mContext.connections().add(this);
     }
 
-    /** Notes that bytes came: the first ones after an answer begin a request. */
+    /** Handles received bytes: the first ones after a response start a request. */
     void onBytes() {
-        if (mHeadSince == 0) {
-            mHeadSince = mContext.now();
+        if (mRequestStartedAt == 0) {
+            mRequestStartedAt = mContext.now();
             mArrival =
-                    mArrival != null && mArrival.isLate() ? mArrival : mContext.arrivals().next();
+                    mArrival != null && mArrival.wasDelayed()
+                            ? mArrival
+                            : mContext.arrivalTracker().next();
         }
     }
 
@@ -77,15 +80,15 @@
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
         FullHttpRequest r = (FullHttpRequest) msg;
         try {
-            read(r);
+            enqueue(r);
         } finally {
             r.release();
         }
     }
 
-    private void read(FullHttpRequest r) {
+    private void enqueue(FullHttpRequest r) {
         if (mClosing) {
-            return; // not read: the caller sees the connection close
+            return; // ignored: the connection is being closed
         }
         if (r.decoderResult().isFailure()) {
             refuseMalformed(r.decoderResult().cause());
@@ -98,18 +101,18 @@
                         r.uri(),
                         r.headers().copy(),
                         ByteBufUtil.getBytes(r.content()),
-                        mContext.protocol().decode(r),
-                        mArrival == null ? mContext.arrivals().next() : mArrival);
-        mHeadSince = 0;
+                        mContext.headerCodec().decode(r),
+                        mArrival == null ? mContext.arrivalTracker().next() : mArrival);
+        mRequestStartedAt = 0;
         mArrival = null;
         mQueue.add(request);
         if (mQueue.size() >= MAX_QUEUED) {
             mChannel.channel().config().setAutoRead(false);
         }
-        next();
+        startNext();
     }
 
-    private void next() {
+    private void startNext() {
         if (mFlow != null || mClosing) {
             return;
         }
@@ -133,42 +136,43 @@
                 cause instanceof TooLongFrameException
                         ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                         : HttpResponseStatus.BAD_REQUEST;
-        mContext.counters().onMalformed();
+        mContext.meters().onMalformed();
         mKeepAlive = false;
-        answer(mContext.answers().own("", status, "malformed request"));
+        respond(mContext.responses().local("", status, "malformed request"));
     }
 
-    // ---------------------------------------------------------------- answering
+    // ---------------------------------------------------------------- writing
 
     @Override
-    public void answer(FullHttpResponse response) {
-        boolean close = prepare(response);
-        finish(mChannel.writeAndFlush(response), close);
+    public void respond(FullHttpResponse response) {
+        boolean close = setConnectionHeader(response);
+        finishResponse(mChannel.writeAndFlush(response), close);
     }
 
     @Override
-    public void begin(HttpResponse head) {
-        prepare(head);
+    public void writeHead(HttpResponse head) {
+        setConnectionHeader(head);
         mChannel.write(head);
     }
 
     @Override
-    public void part(ByteBuf bytes) {
+    public void writeBody(ByteBuf bytes) {
         if (mBodiless) {
             bytes.release();
             return;
         }
-        mCodec.writeAndFlush(Chunks.of(mCodec.alloc(), bytes)); // beneath the encoder
+        mCodec.writeAndFlush(
+                ChunkEncoder.encode(mCodec.alloc(), bytes)); // bypasses the HTTP encoder
     }
 
     @Override
-    public void end() {
-        boolean close = !mKeepAlive || mContext.isLeaving();
-        finish(mChannel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), close);
+    public void complete() {
+        boolean close = !mKeepAlive || mContext.isDraining();
+        finishResponse(mChannel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), close);
     }
 
-    private boolean prepare(HttpResponse response) {
-        boolean close = !mKeepAlive || mContext.isLeaving();
+    private boolean setConnectionHeader(HttpResponse response) {
+        boolean close = !mKeepAlive || mContext.isDraining();
         if (close) {
             mKeepAlive = false;
         }
@@ -176,7 +180,7 @@
         return close;
     }
 
-    private void finish(io.netty.channel.ChannelFuture written, boolean close) {
+    private void finishResponse(io.netty.channel.ChannelFuture written, boolean close) {
         mFlow = null;
         mLastUse = mContext.now();
         if (close) {
@@ -184,11 +188,11 @@
             written.addListener(ChannelFutureListener.CLOSE);
             return;
         }
-        next();
+        startNext();
     }
 
     @Override
-    public void breakOff() {
+    public void abort() {
         mFlow = null;
         mClosing = true;
         mChannel.close();
@@ -204,12 +208,12 @@
         return mChannel.channel().isWritable();
     }
 
-    // ---------------------------------------------------------------- life
+    // ---------------------------------------------------------------- lifecycle
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (mFlow != null) {
-            mFlow.onWritable(isWritable());
+            mFlow.onWritabilityChanged(isWritable());
         }
     }
 
@@ -221,37 +225,38 @@
         if (mFlow != null) {
             RequestFlow flow = mFlow;
             mFlow = null;
-            flow.onCallerGone();
+            flow.onCallerDisconnected();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close(); // the caller has reset its connection; channelInactive does the rest
+        ctx.close(); // connection reset by the caller; channelInactive cleans up
     }
 
-    /** Closes the connection if it has been idle, or a request has been coming, for too long. */
+    /** Closes the connection if it was idle, or receiving a request head, for too long. */
     void closeIfStale(long now, CallerLimits limits) {
         if (mFlow != null || mClosing) {
             return;
         }
-        boolean slowHead = mHeadSince != 0 && now - mHeadSince > limits.headerMillis();
-        boolean idle = mHeadSince == 0 && now - mLastUse > limits.idleMillis();
+        boolean slowHead =
+                mRequestStartedAt != 0 && now - mRequestStartedAt > limits.headerMillis();
+        boolean idle = mRequestStartedAt == 0 && now - mLastUse > limits.idleMillis();
         if (slowHead || idle) {
             close();
         }
     }
 
-    /** Closes the connection if no request is under way. */
+    /** Closes the connection if no request is active. */
     void closeIfIdle() {
-        if (mFlow == null && mHeadSince == 0 && !mClosing) {
+        if (mFlow == null && mRequestStartedAt == 0 && !mClosing) {
             close();
         }
     }
 
-    /** Returns whether a request is under way or coming in. */
+    /** Returns whether a request is active or being received. */
     boolean isBusy() {
-        return mFlow != null || mHeadSince != 0;
+        return mFlow != null || mRequestStartedAt != 0;
     }
 
     private void close() {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerServer.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CallerServer.java
@@ -10,11 +10,11 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 
 import org.forkseam.core.traffic.CallerLimits;
-import org.forkseam.direct.io.EarlyListener;
+import org.forkseam.direct.io.EarlyServerSocket;
 
 import java.util.concurrent.CompletableFuture;
 
-/** Listens for callers. Used on the event loop. */
+/** Accepts connections from callers. Used on the event loop. */
 final class CallerServer {
     private final EventLoopGroup mGroup;
     private final RouterContext mContext;
@@ -25,7 +25,7 @@
         mContext = context;
     }
 
-    CompletableFuture<Void> serve(EarlyListener listener) {
+    CompletableFuture<Void> serve(EarlyServerSocket listener) {
         ChannelInitializer<Channel> connections =
                 new ChannelInitializer<Channel>() {
                     @Override
@@ -38,7 +38,8 @@
 
     private void accept(Channel ch) {
         CallerLimits limits = mContext.knowledge().config().limits();
-        CallerConnection connection = new CallerConnection(mContext, mContext.arrivals().next());
+        CallerConnection connection =
+                new CallerConnection(mContext, mContext.arrivalTracker().next());
         HttpDecoderConfig config =
                 new HttpDecoderConfig()
                         .setMaxInitialLineLength(limits.headerBytes())
@@ -57,8 +58,8 @@
                 .addLast(connection);
     }
 
-    /** Takes no further connection. */
-    void stopListening() {
+    /** Closes the listening socket; open connections are kept. */
+    void closeListener() {
         if (mListener != null) {
             mListener.close();
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestPlacement.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
@@ -18,10 +18,10 @@
 import java.util.Set;
 
 /**
- * Chooses the targets of one request, and where a target copies a prompt from that it has not read.
- * Used on the event loop.
+ * Selects targets for the attempts of one request, and the target from which a prompt can be
+ * copied. Used on the event loop.
  */
-final class RequestPlacement {
+final class TargetSelection {
     private final RouterContext mContext;
     private final String mKey;
     private final long mKeyHash;
@@ -29,7 +29,7 @@
     private final Set<String> mTried = new HashSet<>();
     private Optional<String> mCopySource = Optional.empty();
 
-    RequestPlacement(RouterContext context, CallerRequest request) {
+    TargetSelection(RouterContext context, CallerRequest request) {
         mContext = context;
         Optional<Prompt> prompt = request.head().prompt();
         mKey = prompt.map(Prompt::sharedKey).orElse(request.id());
@@ -37,30 +37,33 @@
         mSharedTokens = prompt.map(Prompt::sharedTokens).orElse(0L);
     }
 
-    /** Returns what the choice is made by. */
+    /** Returns the selection key. */
     String key() {
         return mKey;
     }
 
-    /** Returns the tokens of the prompt that other requests share. */
+    /** Returns the number of prompt tokens shared with other requests. */
     long sharedTokens() {
         return mSharedTokens;
     }
 
-    /** Returns the target that the last request was told to copy the prompt from. */
+    /**
+     * Returns the address of the target from which the last attempt was told to copy the prompt.
+     */
     Optional<String> copySource() {
         return mCopySource;
     }
 
-    /** Chooses a target that this request was not sent to yet. */
-    Optional<Pick> next(Admission admission) {
+    /** Selects a target that the request was not yet sent to. */
+    Optional<Pick> selectNext(Admission admission) {
         long now = mContext.now();
         String pool = admission.pool();
         ColdStart cold = coldStart(admission);
-        List<Target> all = allowed(admission);
-        List<Target> admitted = mContext.coldGate().admitted(all, cold, now);
-        int resting = all.size() - admitted.size() + resting(admitted, now);
-        CandidateFilter.Candidates c = mContext.placing().filter().of(admitted, mTried, now);
+        List<Target> all = allowedTargets(admission);
+        List<Target> admitted = mContext.coldStartLimiter().admitted(all, cold, now);
+        int resting = all.size() - admitted.size() + countResting(admitted, now);
+        CandidateFilter.Candidates c =
+                mContext.selectors().candidateFilter().apply(admitted, mTried, now);
         PickRequest request =
                 new PickRequest(
                         mKey, mSharedTokens, mContext.knowledge().seats().table(pool), resting);
@@ -69,13 +72,13 @@
         return pick;
     }
 
-    /** Returns the targets of a request's pool in the regions that it may go to. */
-    private List<Target> allowed(Admission a) {
+    /** Returns the targets of the request's pool in the allowed regions. */
+    private List<Target> allowedTargets(Admission a) {
         List<Target> pool = mContext.knowledge().targets().pool(a.pool());
-        return mContext.placing().regions().allowed(pool, a.route(), a.team());
+        return mContext.selectors().homeRegions().allowed(pool, a.route(), a.team());
     }
 
-    private static int resting(List<Target> targets, long now) {
+    private static int countResting(List<Target> targets, long now) {
         int n = 0;
         for (Target t : targets) {
             n += t.rests(now) ? 1 : 0;
@@ -89,18 +92,18 @@
 
     private void onPick(String pool, Pick p, ColdStart cold, long now) {
         mTried.add(p.target().entry().id());
-        mContext.coldGate().onSent(p.target(), cold, now);
+        mContext.coldStartLimiter().onSent(p.target(), cold, now);
         mContext.knowledge().seats().onPick(pool, p.reason());
     }
 
     /**
-     * Says why there is no target that this request could be sent to.
+     * Returns why no target is available.
      *
-     * @param holdsOff whether one is known to want work again, and none does now
+     * @param holdsOff whether a target is holding off requests and will accept them again
      */
-    String whyNone(Admission admission, boolean holdsOff) {
+    String unavailableReason(Admission admission, boolean holdsOff) {
         long now = mContext.now();
-        List<Target> all = allowed(admission);
+        List<Target> all = allowedTargets(admission);
         long coldMillis = coldStart(admission).millis();
         if (all.stream().anyMatch(t -> t.takesWork(now) && t.isCold(coldMillis, now))) {
             return "cold";
@@ -115,13 +118,13 @@
     }
 
     /**
-     * Returns in how many milliseconds the first target that a request may go to wants work again;
-     * empty if one does now, or none is known to.
+     * Returns the time in milliseconds until the first allowed target accepts requests again; empty
+     * if one accepts them now or none is expected to.
      */
-    OptionalLong freeAgainIn(Admission admission) {
+    OptionalLong availableInMillis(Admission admission) {
         long now = mContext.now();
         OptionalLong first = OptionalLong.empty();
-        for (Target t : allowed(admission)) {
+        for (Target t : allowedTargets(admission)) {
             if (t.takesWork(now)) {
                 return OptionalLong.empty();
             }
@@ -136,10 +139,10 @@
 
     private TargetPicker picker(Admission a) {
         boolean engine = a.config().pool(a.pool()).map(Pool::engine).orElse(false);
-        return engine ? mContext.placing().engines() : mContext.placing().services();
+        return engine ? mContext.selectors().enginePicker() : mContext.selectors().servicePicker();
     }
 
-    /** Finds a target from which this one can copy the prompt it is not likely to have. */
+    /** Returns the address of a target that is likely to hold the prompt, if this target is not. */
     Optional<String> copyFrom(Target t, String pool) {
         if (mSharedTokens == 0) {
             return Optional.empty();
@@ -148,17 +151,17 @@
         List<String> likely = known.seats().likelyHolders(pool, mKeyHash);
         mCopySource =
                 known.holders()
-                        .source(mKeyHash, t, likely, known.targets(), mContext.now())
+                        .copySource(mKeyHash, t, likely, known.targets(), mContext.now())
                         .map(s -> s.entry().address());
         return mCopySource;
     }
 
-    /** Lets the request go once more to targets that it was sent to. */
-    void forgetTried() {
+    /** Allows targets to be selected again that the request was already sent to. */
+    void clearTried() {
         mTried.clear();
     }
 
-    /** Notes that a target has read the prompt. */
+    /** Records that a target has processed the prompt. */
     void onAnswered(String pool, Target t) {
         if (mSharedTokens > 0) {
             mContext.knowledge().onAnswered(pool, mKeyHash, t);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.know;
 
 import org.forkseam.core.member.Evacuations;
-import org.forkseam.core.share.ReaderRole;
+import org.forkseam.core.share.StoreReaderRole;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.store.StoreTime;
 import org.forkseam.core.traffic.ConfigChange;
@@ -38,7 +38,7 @@
     private final FleetSource mSource;
     private final Listener mListener;
     private final Evacuations mEvacuations = Evacuations.create();
-    private final ReaderRole mRole = ReaderRole.of(READER_TIMEOUT_MILLIS);
+    private final StoreReaderRole mRole = StoreReaderRole.of(READER_TIMEOUT_MILLIS);
     private TrafficConfig mConfig = TrafficConfig.none();
     private StorePosition mPosition = StorePosition.NONE;
     private long mConfirmedAt;
@@ -132,7 +132,7 @@
 
     void start() {
         if (!isStopped()) {
-            mSource.readOperators().whenComplete((read, e) -> onRead(read, e, this::applyAll));
+            mSource.readOperatorState().whenComplete((read, e) -> onRead(read, e, this::applyAll));
         }
     }
 
@@ -141,13 +141,13 @@
         if (isStopped()) {
             return;
         }
-        long quiet = mRole.quietMillis(now());
+        long quiet = mRole.standbyMillis(now());
         if (quiet > 0) {
             schedule(quiet + jitterMillis(), this::follow);
             return;
         }
         StorePosition since = mPosition;
-        mSource.awaitOperators(since, LONG_POLL_MILLIS)
+        mSource.awaitOperatorState(since, LONG_POLL_MILLIS)
                 .whenComplete((read, e) -> onLongPoll(read, e, since));
     }
 
@@ -201,7 +201,7 @@
     private void applyChanges(Versioned<OperatorState> read) {
         OperatorState s = read.value();
         s.config().ifPresent(c -> offer(c, "store"));
-        if (mEvacuations.change(read.position(), s.evacuated(), s.returned(), now())) {
+        if (mEvacuations.change(read.position(), s.evacuated(), s.restored(), now())) {
             onEvacuationsChanged("store");
         }
     }
@@ -221,7 +221,7 @@
     }
 
     private void onFailure(Throwable failure) {
-        if (SourceException.isHistoryGone(failure)) {
+        if (SourceException.isHistoryCompacted(failure)) {
             storeHealth().onSuccess();
             reread();
             return;
@@ -266,7 +266,7 @@
         }
         mConfirmedAt = now();
         if (peers().isPrecededBy(sender)) {
-            mRole.onHeard(mConfirmedAt);
+            mRole.onReaderHeard(mConfirmedAt);
         }
     }
 
@@ -279,7 +279,7 @@
             return;
         }
         mReadInProgress = true;
-        mSource.readOperators()
+        mSource.readOperatorState()
                 .whenComplete(
                         (read, failure) -> {
                             mReadInProgress = false;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
@@ -7,8 +7,8 @@
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.member.TargetEntry;
-import org.forkseam.core.route.HolderMemory;
-import org.forkseam.core.share.LoadExchange;
+import org.forkseam.core.route.PromptHolderIndex;
+import org.forkseam.core.share.LoadGossip;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.traffic.TrafficConfig;
 import org.forkseam.core.util.Clock;
@@ -101,7 +101,7 @@
         mLoop = loop;
         mClock = clock;
         mCalls = sources.calls();
-        mUnusable = sources.fleet()::unusableEntries;
+        mUnusable = sources.fleet()::invalidEntries;
         mPeerGroup = new PeerGroup(loop, self, random, this::onMessage);
         mPeerClient = PeerClient.of(loop, clock, sources.peers());
         FollowerBase.Context context =
@@ -148,7 +148,7 @@
         mLoop.execute(mRows::start);
         mLoop.execute(mQuarantine::start);
         scheduleEvery(mSeats.planPeriodMillis(), () -> mSeats.plan(config()));
-        scheduleEvery(LoadExchange.PERIOD_MILLIS, this::sendObservations);
+        scheduleEvery(LoadGossip.PERIOD_MILLIS, this::sendObservations);
         return mPeerGroup.listen();
     }
 
@@ -240,7 +240,7 @@
     }
 
     /** Returns which targets have processed the prompts of which keys. */
-    public HolderMemory holders() {
+    public PromptHolderIndex holders() {
         return mObservations.holders();
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
@@ -3,7 +3,7 @@
 import org.forkseam.core.crash.CrashFact;
 import org.forkseam.core.crash.CrashSuspects;
 import org.forkseam.core.crash.QuarantineTerm;
-import org.forkseam.core.share.FactExchange;
+import org.forkseam.core.share.GossipQueue;
 import org.forkseam.core.util.Hashes;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
@@ -44,8 +44,8 @@
     private final QuarantineRows mRows;
     private final SuspectRows mSuspectRows;
     private final CrashSuspects mSuspects = CrashSuspects.create();
-    private final FactExchange<CrashFact> mCrashExchange =
-            FactExchange.of(CrashFact.MAX_FACTS, f -> mSuspects.crashes(f.content()));
+    private final GossipQueue<CrashFact> mCrashExchange =
+            GossipQueue.of(CrashFact.MAX_FACTS, f -> mSuspects.crashes(f.content()));
     private int mWriteFailures;
 
     /** Decision on a request. */
@@ -103,7 +103,7 @@
                 .whenComplete(
                         (granted, e) ->
                                 Event.always("quarantine_trial")
-                                        .with("content", Hashes.text(content))
+                                        .with("content", Hashes.toHex(content))
                                         .with("granted", granted)
                                         .log());
     }
@@ -176,7 +176,7 @@
 
     /** Returns the crashes and answers to send to another router. */
     List<CrashFact> digest() {
-        return mCrashExchange.digest();
+        return mCrashExchange.nextBatch();
     }
 
     /** Applies another router's crashes and answers. */
@@ -206,7 +206,7 @@
 
     private void onConvicted(long content, boolean observedHere) {
         Event.always("request_convicted")
-                .with("content", Hashes.text(content))
+                .with("content", Hashes.toHex(content))
                 .with("crashes", mSuspects.crashes(content))
                 .with("saw_last", observedHere)
                 .log();
@@ -224,7 +224,7 @@
      */
     private void release(long content, boolean observedHere) {
         Event.always("request_acquitted")
-                .with("content", Hashes.text(content))
+                .with("content", Hashes.toHex(content))
                 .with("saw_answer", observedHere)
                 .log();
         mRows.releaseLocally(content);
@@ -253,7 +253,7 @@
                 f -> f.content() == c.content() && !f.isAnswered()); // all read the row
         mSuspects.forget(c.content());
         Event.always("quarantine")
-                .with("content", Hashes.text(c.content()))
+                .with("content", Hashes.toHex(c.content()))
                 .with("term_ms", c.term().map(QuarantineTerm::termMillis).orElse(0L))
                 .log();
         if (mRows.term(c.content()).isPresent() && mSuspects.wasAnswered(c.content(), now())) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowKeyPrefix.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowKeyPrefix.java
@@ -12,7 +12,7 @@
  */
 record RowKeyPrefix(String prefix) {
     String keyOf(long content) {
-        return prefix + Hashes.text(content);
+        return prefix + Hashes.toHex(content);
     }
 
     boolean matches(String key) {
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/EventSplitterTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/EventSplitterTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Tests that streams are cut at the borders of events. */
+/** Tests that streams are split at event boundaries. */
 class EventSplitterTest {
     private static ByteBuf bytes(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
@@ -24,7 +24,7 @@
 
     private static ByteBuf take(EventSplitter s, String text) {
         s.add(bytes(text));
-        return s.takeWhole();
+        return s.takeCompleteEvents();
     }
 
     private static String text(ByteBuf b) {
@@ -32,7 +32,7 @@
     }
 
     @Property(tries = 300)
-    void whateverThePartsEventsStayWhole(
+    void eventsStayCompleteForAnySplit(
             @ForAll @IntRange(min = 1, max = 8) int events,
             @ForAll @Size(max = 20) List<@IntRange(min = 1, max = 30) Integer> cuts,
             @ForAll boolean crlf) {
@@ -53,23 +53,23 @@
         }
         passed.append(text(take(s, stream.substring(at))));
         assertThat(passed.toString()).isEqualTo(all.toString());
-        assertThat(s.isHolding()).isTrue();
-        assertThat(s.lastId()).isEqualTo(Optional.of("" + events));
+        assertThat(s.hasPartialEvent()).isTrue();
+        assertThat(s.lastEventId()).isEqualTo(Optional.of("" + events));
     }
 
     @Test
-    void whatCameTogetherIsTakenTogether() {
+    void allCompleteEventsAreTakenAtOnce() {
         EventSplitter s = EventSplitter.create();
         s.add(bytes("id: 1\ndata: a\n\n"));
         s.add(bytes("id: 2\ndata: b\n\nid: 3\n"));
-        assertThat(text(s.takeWhole())).isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-        assertThat(s.takeWhole().isReadable()).isFalse();
-        assertThat(s.lastId()).isEqualTo(Optional.of("2"));
-        assertThat(s.isHolding()).isTrue();
+        assertThat(text(s.takeCompleteEvents())).isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+        assertThat(s.takeCompleteEvents().isReadable()).isFalse();
+        assertThat(s.lastEventId()).isEqualTo(Optional.of("2"));
+        assertThat(s.hasPartialEvent()).isTrue();
     }
 
     @Test
-    void aStreamThatHasNotBegunHasNoId() {
-        assertThat(EventSplitter.create().lastId()).isEqualTo(Optional.empty());
+    void emptyStreamHasNoLastEventId() {
+        assertThat(EventSplitter.create().lastEventId()).isEqualTo(Optional.empty());
     }
 }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/io/HttpConnectionTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/io/HttpConnectionTest.java
@@ -24,14 +24,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Tests every way in which an exchange with a target can end. */
+/** Tests the ways in which an exchange with a target can end. */
 class HttpConnectionTest {
     private static final MultiThreadIoEventLoopGroup GROUP =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private static final EventLoop LOOP = (EventLoop) GROUP.next();
     private static final long WAIT_SECONDS = 10;
 
-    /** Names an answer, and the end that the router must see. */
+    /** A response and the expected end of the exchange. */
     enum Case {
         WHOLE("HTTP/1.1 200 OK\r\nRequest-Id: r\r\nContent-Length: 2\r\n\r\nok", "END ok"),
         CHUNKED(
@@ -60,11 +60,11 @@
                         + "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nContent-Length: 2\r\n\r\nok",
                 "END ok");
 
-        private final String mAnswer;
+        private final String mResponse;
         private final String mEnd;
 
-        Case(String answer, String end) {
-            mAnswer = answer;
+        Case(String response, String end) {
+            mResponse = response;
             mEnd = end;
         }
     }
@@ -75,7 +75,7 @@
     }
 
     /** Records how an exchange ended. */
-    private static class Recorder implements ConnectionUser, AnswerListener {
+    private static class Recorder implements ConnectionCallback, ResponseListener {
         private final StringBuilder mBody = new StringBuilder();
         private final CompletableFuture<String> mEnd = new CompletableFuture<>();
         private HttpConnection mConnection;
@@ -95,8 +95,8 @@
         }
 
         @Override
-        public void onNone(BreakKind kind, String detail) {
-            mEnd.complete(kind + " ");
+        public void onConnectionFailed(ExchangeFailure failure, String detail) {
+            mEnd.complete(failure + " ");
         }
 
         @Override
@@ -108,13 +108,13 @@
         }
 
         @Override
-        public void onEnd() {
+        public void onComplete() {
             mEnd.complete("END " + mBody);
         }
 
         @Override
-        public void onBroken(BreakKind kind, String detail) {
-            mEnd.complete(kind + " " + mBody);
+        public void onExchangeFailed(ExchangeFailure failure, String detail) {
+            mEnd.complete(failure + " " + mBody);
         }
     }
 
@@ -125,16 +125,16 @@
     }
 
     private static ConnectionPool pool(String address) {
-        return ConnectionPool.of(Connector.of(LOOP), Clock.steady(), address);
+        return ConnectionPool.of(Connector.of(LOOP), Clock.monotonic(), address);
     }
 
     @ParameterizedTest
     @EnumSource(Case.class)
-    void endOfAnAnswer(Case c) throws Exception {
+    void responseEndIsDetected(Case c) throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
-                            w.send(c.mAnswer);
+                            w.send(c.mResponse);
                             return false;
                         })) {
             String end = exchange(pool(s.address()));
@@ -145,9 +145,9 @@
         }
     }
 
-    /** An answer without a length that is reset is not whole, though its bytes have come. */
+    /** A response delimited by close is incomplete if the connection is reset. */
     @Test
-    void resetIsNoEnd() throws Exception {
+    void resetDoesNotCompleteTheResponse() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
@@ -161,11 +161,11 @@
     }
 
     /**
-     * A connection that breaks is still counted while its user hears of it: at a small limit nobody
-     * could find out whether the target has ended.
+     * A broken connection may still count as open when its replacement is opened, so the limit must
+     * not apply.
      */
     @Test
-    void aBrokenConnectionIsReplacedAtTheLimit() throws Exception {
+    void brokenConnectionIsReplacedAtTheLimit() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
@@ -176,14 +176,14 @@
             pool.setLimit(0);
             assertThat(exchange(pool)).startsWith("NO_CONNECTION_FREE");
             Recorder r = new Recorder();
-            LOOP.execute(() -> pool.replace(r));
+            LOOP.execute(() -> pool.openReplacement(r));
             s.close();
             assertThat(r.mEnd.get(WAIT_SECONDS, TimeUnit.SECONDS)).doesNotContain("NO_CONNECTION");
         }
     }
 
     @Test
-    void nobodyListens() throws Exception {
+    void refusedConnectionIsReported() throws Exception {
         String address;
         try (ScriptedServer s = ScriptedServer.of((r, w) -> false)) {
             address = s.address();
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void connectionsAreUsedAgain() throws Exception {
+    void connectionsAreReused() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
@@ -202,13 +202,13 @@
             ConnectionPool pool = pool(s.address());
             assertThat(exchange(pool)).isEqualTo("END 1");
             assertThat(exchange(pool)).isEqualTo("END 2");
-            assertThat(pool.open()).isEqualTo(1);
+            assertThat(pool.openCount()).isEqualTo(1);
         }
     }
 
-    /** A slow reader holds its own answer up, not the next one on the same connection. */
+    /** Backpressure on one response must not block the next one on the same connection. */
     @Test
-    void aConnectionIsGivenBackReading() throws Exception {
+    void releasedConnectionResumesReading() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
@@ -221,19 +221,19 @@
                         @Override
                         public void onBody(ByteBuf bytes) {
                             super.onBody(bytes);
-                            connection().setReading(false);
+                            connection().setAutoRead(false);
                         }
                     };
             LOOP.execute(() -> pool.acquire(60_000, slow));
             assertThat(slow.mEnd.get(WAIT_SECONDS, TimeUnit.SECONDS)).isEqualTo("END 1");
             assertThat(exchange(pool)).isEqualTo("END 2");
-            assertThat(pool.open()).isEqualTo(1);
+            assertThat(pool.openCount()).isEqualTo(1);
         }
     }
 
-    /** A surplus answer on a kept connection must not reach the next request. */
+    /** A surplus response on a kept connection must not reach the next request. */
     @Test
-    void surplusAnswerEndsTheConnection() throws Exception {
+    void surplusResponseClosesTheConnection() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of(
                         (r, w) -> {
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void noMoreConnectionsThanTheLimit() throws Exception {
+    void connectionLimitIsEnforced() throws Exception {
         try (ScriptedServer s =
                 ScriptedServer.of((r, w) -> w.awaitClose((int) WAIT_SECONDS * 1000))) {
             ConnectionPool pool = pool(s.address());
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/FollowerBaseTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/FollowerBaseTest.java
@@ -20,7 +20,7 @@
             super(
                     new Context(
                             null,
-                            Clock.steady(),
+                            Clock.monotonic(),
                             new SplittableRandom(5),
                             null,
                             null,
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
@@ -43,7 +43,7 @@
     private final MultiThreadIoEventLoopGroup mGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop mLoop = (EventLoop) mGroup.next();
-    private final Clock mClock = Clock.steady();
+    private final Clock mClock = Clock.monotonic();
     private final FakeFleetSource mSource = new FakeFleetSource();
     private TargetFollower mFollower;
     private volatile long mRecoveredAt;
@@ -69,18 +69,18 @@
         }
 
         @Override
-        public CompletableFuture<Versioned<OperatorState>> readOperators() {
+        public CompletableFuture<Versioned<OperatorState>> readOperatorState() {
             return new CompletableFuture<>();
         }
 
         @Override
-        public CompletableFuture<Versioned<OperatorState>> awaitOperators(
+        public CompletableFuture<Versioned<OperatorState>> awaitOperatorState(
                 StorePosition since, long wait) {
             return new CompletableFuture<>();
         }
 
         @Override
-        public Map<String, Long> unusableEntries() {
+        public Map<String, Long> invalidEntries() {
             return Map.of();
         }
     }
