--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/ClaimStore.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/ClaimStore.java
@@ -86,7 +86,7 @@
         try {
             return new VersionedClaim(JSON.readValue(row.value(), ClaimRow.class), row.revision());
         } catch (IOException e) {
-            throw new UncheckedIOException("malformed claim in row " + row.key(), e);
+            throw new UncheckedIOException("claim row " + row.key() + " is malformed", e);
         }
     }
 
