--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/AdmissionController.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/AdmissionController.java
@@ -6,8 +6,8 @@
 import org.forkseam.core.cfg.TeamSpec;
 import org.forkseam.core.load.LoadDigest;
 import org.forkseam.core.load.PoolLoad;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.core.outcome.RetryAfter;
 import org.forkseam.core.util.Clock;
 
@@ -59,7 +59,7 @@
         void onAdmitted(T item);
 
         /** Refuses a queued request. */
-        void onRefused(T item, Refused why);
+        void onRefused(T item, AttemptFailure why);
     }
 
     private AdmissionController(
@@ -158,7 +158,7 @@
      * @param poolCapacity capacity of the whole pool
      * @param memberCount targets of the pool
      */
-    public Optional<Refused> admit(
+    public Optional<AttemptFailure> admit(
             T item,
             PoolSpec pool,
             long poolCapacity,
@@ -168,18 +168,20 @@
             long deadlineMillis) {
         setQueueLimit(pool.queueLimit());
         long now = mClock.nowMillis();
-        Admission.Facts facts = facts(pool, poolCapacity, memberCount);
+        Admission.Snapshot facts = facts(pool, poolCapacity, memberCount);
         int ahead = mQueue.aheadOf(team.name(), team.weight());
-        Optional<RefusalReason> reason = Admission.refuse(facts, ahead, deadlineMillis - now);
+        Optional<RefusalReason> reason =
+                Admission.refusalReason(facts, ahead, deadlineMillis - now);
         if (reason.isPresent()) {
-            return Optional.of(Refused.notRun(reason.get(), retryAfter(facts, ahead)));
+            return Optional.of(AttemptFailure.notRun(reason.get(), retryAfter(facts, ahead)));
         }
         if (mRunning < mCapacity) {
             start(item);
             return Optional.empty();
         }
         if (mQueueLimit == 0) {
-            return Optional.of(Refused.notRun(RefusalReason.QUEUE_FULL, retryAfter(facts, ahead)));
+            return Optional.of(
+                    AttemptFailure.notRun(RefusalReason.QUEUE_FULL, retryAfter(facts, ahead)));
         }
         Optional<FairQueue.Waiting<T>> displaced =
                 mQueue.add(item, team.name(), team.weight(), priority, deadlineMillis);
@@ -189,7 +191,7 @@
         }
         boolean isSelf = displaced.get().item() == item;
         RefusalReason why = isSelf ? RefusalReason.QUEUE_FULL : RefusalReason.FAIR_SHARE;
-        Refused refused = Refused.notRun(why, retryAfter(facts, mQueue.size()));
+        AttemptFailure refused = AttemptFailure.notRun(why, retryAfter(facts, mQueue.size()));
         if (isSelf) {
             return Optional.of(refused);
         }
@@ -197,7 +199,7 @@
         return Optional.empty();
     }
 
-    private Admission.Facts facts(PoolSpec pool, long poolCapacity, int memberCount) {
+    private Admission.Snapshot facts(PoolSpec pool, long poolCapacity, int memberCount) {
         ReportedLoad reported = mReportedLoads.get(pool.name());
         boolean isFresh =
                 reported != null && mClock.nowMillis() - reported.atMillis() <= REPORT_TTL_MILLIS;
@@ -205,7 +207,7 @@
                 isFresh
                         ? Math.round(reported.load())
                         : estimateFromDigests(pool.name(), memberCount);
-        return new Admission.Facts(
+        return new Admission.Snapshot(
                 mLeaving,
                 mRunning,
                 mQueue.size(),
@@ -224,8 +226,8 @@
         return known.totalLoad() + Math.round(unknown * meanLoad);
     }
 
-    private long retryAfter(Admission.Facts facts, int ahead) {
-        return RetryAfter.spread(Admission.expectedWaitMillis(facts, ahead), mRandom);
+    private long retryAfter(Admission.Snapshot facts, int ahead) {
+        return RetryAfter.withJitter(Admission.expectedWaitMillis(facts, ahead), mRandom);
     }
 
     private void setQueueLimit(int limit) {
@@ -267,8 +269,8 @@
             return;
         }
         onLoadChanged();
-        long after = RetryAfter.spread((long) mMeanServiceMillis, mRandom);
-        Refused why = Refused.notRun(RefusalReason.DEADLINE, after);
+        long after = RetryAfter.withJitter((long) mMeanServiceMillis, mRandom);
+        AttemptFailure why = AttemptFailure.notRun(RefusalReason.DEADLINE, after);
         expired.forEach(w -> mListener.onRefused(w.item(), why));
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/ClaimManager.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/ClaimManager.java
@@ -1,7 +1,7 @@
 package org.forkseam.daemon.sidecar;
 
 import org.forkseam.core.claim.ClaimProtocol;
-import org.forkseam.core.claim.ClaimProtocol.OwnState;
+import org.forkseam.core.claim.ClaimProtocol.AttemptState;
 import org.forkseam.core.claim.ClaimProtocol.Step;
 import org.forkseam.core.claim.ClaimRow;
 import org.forkseam.core.util.BoundedMap;
@@ -25,7 +25,8 @@
     private final ClaimStore mStore;
     private final String mTarget;
     private final long mIncarnation;
-    private final Map<String, OwnState> mAttemptStates = BoundedMap.byInsertion(MAX_TRACKED_NONCES);
+    private final Map<String, AttemptState> mAttemptStates =
+            BoundedMap.byInsertion(MAX_TRACKED_NONCES);
 
     /**
      * The result of an attempt to claim a request.
@@ -60,12 +61,12 @@
                         fingerprint,
                         "",
                         now());
-        mAttemptStates.put(nonce, OwnState.ACTIVE);
+        mAttemptStates.put(nonce, AttemptState.ACTIVE);
         ClaimAttempt attempt =
                 new ClaimAttempt(
                         key,
                         ClaimProtocol.of(
-                                row, n -> mAttemptStates.getOrDefault(n, OwnState.UNKNOWN)));
+                                row, n -> mAttemptStates.getOrDefault(n, AttemptState.UNKNOWN)));
         attempt.perform(attempt.mProtocol.start());
         return attempt.mResult.whenComplete((r, e) -> markAbandonedUnlessRun(nonce, r));
     }
@@ -76,13 +77,13 @@
 
     private void markAbandonedUnlessRun(String nonce, Result result) {
         if (result == null || result.step() != Step.RUN) {
-            mAttemptStates.put(nonce, OwnState.ABANDONED);
+            mAttemptStates.put(nonce, AttemptState.ABANDONED);
         }
     }
 
     /** Marks a claimed request that was never sent to the target as abandoned. */
     public CompletableFuture<Void> abandon(String key, Result claimed, String fingerprint) {
-        mAttemptStates.put(claimed.nonce(), OwnState.ABANDONED);
+        mAttemptStates.put(claimed.nonce(), AttemptState.ABANDONED);
         ClaimRow row =
                 new ClaimRow(
                         ClaimRow.State.ABANDONED,
@@ -135,7 +136,7 @@
                                         step,
                                         mProtocol.row().nonce(),
                                         mRevision,
-                                        mProtocol.seen()));
+                                        mProtocol.observed()));
             }
         }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Exchange.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Exchange.java
@@ -1,9 +1,9 @@
 package org.forkseam.daemon.sidecar;
 
-import org.forkseam.core.answer.AnswerBuffer;
+import org.forkseam.core.answer.ResponseBuffer;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.OutcomeKind;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.wire.proto.Header;
 import org.forkseam.wire.proto.Submit;
 
@@ -47,7 +47,7 @@
     private final Submit mRequest;
     private final Owner mOwner;
     private final long mArrivedMillis;
-    private final AnswerBuffer mBuffer;
+    private final ResponseBuffer mBuffer;
     private final SseSplitter mEventSplitter = new SseSplitter();
     private final List<StreamSubscriber> mSubscribers = new ArrayList<>();
     private final long mResumedFrom;
@@ -58,16 +58,16 @@
     private boolean mIsEventStream;
     private boolean mReplayed;
     private TokenUsage mUsage = new TokenUsage(0, 0);
-    private Optional<Refused> mRefusal = Optional.empty();
+    private Optional<AttemptFailure> mRefusal = Optional.empty();
     private Optional<ClaimManager.Result> mClaim = Optional.empty();
     private long mStartedMillis;
 
     Exchange(Submit request, Owner owner, long nowMillis, int maxBufferBytes) {
-        this(request, owner, nowMillis, AnswerBuffer.of(maxBufferBytes), -1);
+        this(request, owner, nowMillis, ResponseBuffer.of(maxBufferBytes), -1);
     }
 
     private Exchange(
-            Submit request, Owner owner, long nowMillis, AnswerBuffer buffer, long resumedFrom) {
+            Submit request, Owner owner, long nowMillis, ResponseBuffer buffer, long resumedFrom) {
         mRequest = request;
         mOwner = owner;
         mArrivedMillis = nowMillis;
@@ -78,7 +78,7 @@
     /** Creates an exchange that resumes an engine's stream after a restart of the sidecar. */
     static Exchange createResumed(
             Submit request, Owner owner, long nowMillis, int maxBufferBytes, long fromSequence) {
-        AnswerBuffer b = AnswerBuffer.from(fromSequence, maxBufferBytes);
+        ResponseBuffer b = ResponseBuffer.from(fromSequence, maxBufferBytes);
         return new Exchange(request, owner, nowMillis, b, fromSequence);
     }
 
@@ -120,11 +120,11 @@
         return mUsage;
     }
 
-    AnswerBuffer buffer() {
+    ResponseBuffer buffer() {
         return mBuffer;
     }
 
-    Optional<Refused> refusal() {
+    Optional<AttemptFailure> refusal() {
         return mRefusal;
     }
 
@@ -199,7 +199,7 @@
     }
 
     /** Ends the request without a response, unless it has ended already. */
-    void refuse(Refused refused) {
+    void refuse(AttemptFailure refused) {
         if (isEnded()) {
             return;
         }
@@ -260,7 +260,7 @@
         if (mRequest.getChat() && status >= MIN_SERVER_ERROR_STATUS) {
             // Nothing was forwarded to subscribers yet, so the request can be retried elsewhere.
             refuse(
-                    Refused.failed(
+                    AttemptFailure.failed(
                             RefusalReason.BROKEN_ANSWER, "engine responded with status " + status));
             return;
         }
@@ -323,7 +323,8 @@
         OutcomeKind kind = responseStarted ? OutcomeKind.FAILED : OutcomeKind.MAY_HAVE_RUN;
         mRefusal =
                 Optional.of(
-                        new Refused(kind, RefusalReason.BROKEN_ANSWER, 0, "", cause.toString()));
+                        new AttemptFailure(
+                                kind, RefusalReason.BROKEN_ANSWER, 0, "", cause.toString()));
         end(State.OVER);
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/QuotaCoordinator.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/QuotaCoordinator.java
@@ -1,6 +1,6 @@
 package org.forkseam.daemon.sidecar;
 
-import org.forkseam.core.admit.QuotaShares;
+import org.forkseam.core.admit.QuotaAllocator;
 import org.forkseam.core.util.Clock;
 import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.daemon.share.Fleet;
@@ -21,7 +21,7 @@
     private final Fleet mFleet;
     private final FleetSync mSync;
     private final Clock mClock;
-    private final Map<String, QuotaShares> mSharesByTeam = new HashMap<>();
+    private final Map<String, QuotaAllocator> mSharesByTeam = new HashMap<>();
 
     QuotaCoordinator(Fleet fleet, FleetSync sync, Clock clock) {
         mFleet = fleet;
@@ -38,7 +38,7 @@
         double quota = mFleet.config().team(r.getTeam()).requestsPerSecond();
         double rate =
                 mSharesByTeam
-                        .computeIfAbsent(r.getTeam(), k -> new QuotaShares())
+                        .computeIfAbsent(r.getTeam(), k -> new QuotaAllocator())
                         .report(
                                 link.peer().getHost(),
                                 r.getDemand(),
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/StreamSubscriber.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/StreamSubscriber.java
@@ -2,9 +2,9 @@
 
 import com.google.protobuf.ByteString;
 
-import org.forkseam.core.answer.AnswerBuffer;
+import org.forkseam.core.answer.ResponseBuffer;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.wire.Link;
 import org.forkseam.wire.proto.End;
 import org.forkseam.wire.proto.Frame;
@@ -78,7 +78,7 @@
 
     /** Returns the buffered bytes not yet sent to this subscriber. */
     int unsentBytes(Exchange e) {
-        AnswerBuffer b = e.buffer();
+        ResponseBuffer b = e.buffer();
         int unsent = 0;
         for (long i = mNextSequence; i < b.frameCount(); i++) {
             unsent += b.frame(i).length;
@@ -93,10 +93,10 @@
         if (!mHeadSent && e.status() != 0) {
             sendHead(e);
         }
-        AnswerBuffer b = e.buffer();
+        ResponseBuffer b = e.buffer();
         if (!b.has(mNextSequence)) {
             refuse(
-                    Refused.failed(
+                    AttemptFailure.failed(
                             RefusalReason.NOT_KEPT,
                             "the start of the response is no longer buffered"));
             return;
@@ -156,7 +156,7 @@
     }
 
     /** Ends the stream with a refusal. */
-    void refuse(Refused r) {
+    void refuse(AttemptFailure r) {
         mDone = true;
         Refusal.Builder b =
                 Refusal.newBuilder()
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/UnrepeatableExecutor.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/UnrepeatableExecutor.java
@@ -3,8 +3,8 @@
 import io.activej.eventloop.Eventloop;
 
 import org.forkseam.core.claim.ClaimRow;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.core.util.Clock;
 import org.forkseam.platform.TxnResult;
 
@@ -59,15 +59,16 @@
             case REPLAY -> replay(e, r);
             // An attempt of this sidecar holds the claim but failed; otherwise this request would
             // have joined it.
-            case JOIN -> refuseUnsent(e, Refused.mayHaveRun(RefusalReason.NOT_KEPT));
+            case JOIN -> refuseUnsent(e, AttemptFailure.mayHaveRun(RefusalReason.NOT_KEPT));
             case ASK_OWNER ->
                     refuseUnsent(
                             e,
-                            Refused.notRun(RefusalReason.CLAIMED_ELSEWHERE, 0)
+                            AttemptFailure.notRun(RefusalReason.CLAIMED_ELSEWHERE, 0)
                                     .withOwner(r.lastRow().map(ClaimRow::owner).orElse("")));
-            case ID_REUSED -> refuseUnsent(e, Refused.notRun(RefusalReason.ID_REUSED, 0));
-            case MAY_HAVE_RUN -> refuseUnsent(e, Refused.mayHaveRun(RefusalReason.UNKNOWN_ATTEMPT));
-            default -> refuseUnsent(e, Refused.notRun(RefusalReason.STORE_DOWN, 1_000));
+            case ID_REUSED -> refuseUnsent(e, AttemptFailure.notRun(RefusalReason.ID_REUSED, 0));
+            case MAY_HAVE_RUN ->
+                    refuseUnsent(e, AttemptFailure.mayHaveRun(RefusalReason.UNKNOWN_ATTEMPT));
+            default -> refuseUnsent(e, AttemptFailure.notRun(RefusalReason.STORE_DOWN, 1_000));
         }
     }
 
@@ -76,7 +77,7 @@
                 mClock.nowMillis() - e.arrivedMillis() >= e.request().getRemainingMillis();
         if (e.isEnded() || expired) {
             mClaims.abandon(key(e), r, e.request().getFingerprint());
-            refuseUnsent(e, Refused.notRun(RefusalReason.DEADLINE, 0));
+            refuseUnsent(e, AttemptFailure.notRun(RefusalReason.DEADLINE, 0));
             return;
         }
         e.setClaim(r);
@@ -87,7 +88,7 @@
         Optional<StoredResponse> stored =
                 r.lastRow().map(ClaimRow::answer).flatMap(StoredResponse::fromJson);
         if (stored.isEmpty()) {
-            refuseUnsent(e, Refused.mayHaveRun(RefusalReason.NOT_KEPT));
+            refuseUnsent(e, AttemptFailure.mayHaveRun(RefusalReason.NOT_KEPT));
             return;
         }
         mAdmission.release(0);
@@ -95,7 +96,7 @@
         e.replay(stored.get(), mClock.nowMillis());
     }
 
-    private void refuseUnsent(Exchange e, Refused refused) {
+    private void refuseUnsent(Exchange e, AttemptFailure refused) {
         mAdmission.release(0);
         e.refuse(refused);
     }
@@ -125,7 +126,7 @@
      * Abandons the claim of a request that the target never received. The router is notified only
      * after that, or after a timeout, so that another target can claim the request.
      */
-    void releaseClaim(Exchange e, Refused refused) {
+    void releaseClaim(Exchange e, AttemptFailure refused) {
         if (e.claim().isEmpty()) {
             e.refuse(refused);
             return;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterContext.java
@@ -1,8 +1,8 @@
 package org.forkseam.direct.flow;
 
-import org.forkseam.core.admit.ColdGate;
+import org.forkseam.core.admit.ColdStartLimiter;
 import org.forkseam.core.member.ErrorRate;
-import org.forkseam.core.outcome.ComeBack;
+import org.forkseam.core.outcome.RetryDelayEstimator;
 import org.forkseam.core.route.CandidateFilter;
 import org.forkseam.core.route.RegionFilter;
 import org.forkseam.core.route.TargetPicker;
@@ -23,7 +23,7 @@
     private final Knowledge mKnowledge;
     private final TargetConnections mTargetConnections;
     private Selectors mSelectors;
-    private final ColdGate mColdStartLimiter;
+    private final ColdStartLimiter mColdStartLimiter;
     private final CrashDetector mCrashDetector;
     private final RetryBudgets mRetryBudgets;
     private final ResponseFactory mResponses;
@@ -32,7 +32,7 @@
     private final RequestQueue mRequestQueue;
     private final EventLoopLag mLoopLag;
     private final Timer mTimer;
-    private final Map<String, ComeBack> mRetryDelays = new HashMap<>();
+    private final Map<String, RetryDelayEstimator> mRetryDelays = new HashMap<>();
     private final Map<String, ErrorRate> mErrorRates = new HashMap<>();
     private final Set<RequestFlow> mActiveRequests = new LinkedHashSet<>();
     private final Set<CallerConnection> mConnections = new LinkedHashSet<>();
@@ -70,7 +70,7 @@
             Knowledge knowledge,
             TargetConnections targetConnections,
             Selectors selectors,
-            ColdGate coldStartLimiter,
+            ColdStartLimiter coldStartLimiter,
             RetryBudgets retryBudgets,
             ResponseFactory responses,
             RequestMeters meters,
@@ -112,8 +112,8 @@
     }
 
     /** Returns the retry delay estimator of a pool. */
-    ComeBack retryDelay(String pool) {
-        return mRetryDelays.computeIfAbsent(pool, p -> ComeBack.since(now()));
+    RetryDelayEstimator retryDelay(String pool) {
+        return mRetryDelays.computeIfAbsent(pool, p -> RetryDelayEstimator.startingAt(now()));
     }
 
     /** Returns the error rate of a pool. */
@@ -149,7 +149,7 @@
         mSelectors = selectors;
     }
 
-    ColdGate coldStartLimiter() {
+    ColdStartLimiter coldStartLimiter() {
         return mColdStartLimiter;
     }
 
