--- /dev/null
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
@@ -0,0 +1,121 @@
+package org.forkseam.direct.flow;
+
+import org.forkseam.core.member.Target;
+import org.forkseam.core.member.TargetStart;
+import org.forkseam.direct.io.ConnectionCallback;
+import org.forkseam.direct.io.ExchangeFailure;
+import org.forkseam.direct.io.HttpConnection;
+import org.forkseam.direct.know.Quarantine;
+import org.forkseam.direct.log.Event;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Detects target crashes and reports the requests that were running to the quarantine. Used on the
+ * event loop.
+ *
+ * <p>When a target closes a connection during a request, one new connection is opened to it. If the
+ * connection is refused, the target has crashed; otherwise the new connection replaces the broken
+ * one.
+ */
+final class CrashDetector {
+    /**
+     * A connection lost later than this after the response head does not count as a crash caused by
+     * the request.
+     */
+    private static final long MAX_CRASH_DELAY_MILLIS = 1_000;
+
+    private final TargetConnections mTargets;
+    private final Quarantine mQuarantine;
+    private final Map<TargetStart, Probe> mProbes = new HashMap<>();
+    private long mCrashCount;
+
+    CrashDetector(TargetConnections targets, Quarantine quarantine) {
+        mTargets = targets;
+        mQuarantine = quarantine;
+    }
+
+    /** Returns the number of crashes detected since the start. */
+    long crashCount() {
+        return mCrashCount;
+    }
+
+    /**
+     * Handles a connection lost during a request.
+     *
+     * @param contentHash hash of the request's content
+     * @param respondingMillis time since the target's response head
+     * @param callback runs after the probe if its result may quarantine the request, otherwise
+     *     immediately
+     */
+    void onConnectionLost(Target t, long contentHash, long respondingMillis, Runnable callback) {
+        if (respondingMillis > MAX_CRASH_DELAY_MILLIS) {
+            callback.run();
+            return;
+        }
+        Probe probe = mProbes.get(t.start());
+        boolean isNew = probe == null;
+        if (isNew) {
+            probe = new Probe(t);
+            mProbes.put(t.start(), probe);
+        }
+        probe.mContentHashes.add(contentHash);
+        boolean mayQuarantine = mQuarantine.isOneCrashFromConviction(contentHash);
+        if (mayQuarantine) {
+            probe.mCallbacks.add(callback);
+        }
+        if (isNew) {
+            mTargets.pool(t).openReplacement(probe);
+        }
+        if (!mayQuarantine) {
+            callback.run();
+        }
+    }
+
+    /** A connection attempt that determines whether a target still listens. */
+    private final class Probe implements ConnectionCallback {
+        private final Target mTarget;
+        private final int mCrashId;
+        private final Set<Long> mContentHashes = new HashSet<>();
+        private final List<Runnable> mCallbacks = new ArrayList<>();
+
+        Probe(Target t) {
+            mTarget = t;
+            mCrashId = t.shortHash();
+        }
+
+        @Override
+        public void onConnection(HttpConnection c) {
+            c.release();
+            finish();
+        }
+
+        @Override
+        public void onConnectionFailed(ExchangeFailure failure, String detail) {
+            if (failure == ExchangeFailure.NOBODY_LISTENS) {
+                onCrash();
+            }
+            finish();
+        }
+
+        private void onCrash() {
+            mCrashCount++;
+            Event.of("target_ended")
+                    .with("target", mTarget.entry().id())
+                    .with("address", mTarget.entry().address())
+                    .with("requests", mContentHashes.size())
+                    .log();
+            mContentHashes.forEach(c -> mQuarantine.onCrash(c, mCrashId));
+        }
+
+        private void finish() {
+            mProbes.remove(mTarget.start());
+            mCallbacks.forEach(Runnable::run);
+        }
+    }
+}
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/FlowRecord.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestLogger.java
@@ -8,47 +8,47 @@
 import java.util.Optional;
 
 /**
- * Writes down what is decided on one request: a log line for each attempt that brought no answer
- * and one for the end, and notes for operators who ask. Used on the event loop.
+ * Logs the decisions on one request: a log line per failed attempt and one for the outcome, and
+ * notes for the decision log. Used on the event loop.
  */
-final class FlowRecord {
+final class RequestLogger {
     private final RouterContext mContext;
     private final CallerRequest mRequest;
-    private final String mContent;
-    private Optional<Choice> mChoice = Optional.empty();
+    private final String mContentHash;
+    private Optional<Selection> mSelection = Optional.empty();
 
     /**
-     * Holds a choice of target and what decided it.
+     * A selected target and the inputs of the selection.
      *
-     * @param key what the choice was made by
-     * @param sharedTokens tokens of the prompt that other requests share
+     * @param key the selection key
+     * @param sharedTokens number of prompt tokens shared with other requests
      */
-    record Choice(String pool, Pick pick, String key, long sharedTokens) {}
+    record Selection(String pool, Pick pick, String key, long sharedTokens) {}
 
-    /** Holds what a request's last line tells beside its outcome. */
+    /** Values logged together with a request's outcome. */
     record Summary(String route, String team, long config, int sent, Optional<String> copySource) {}
 
-    FlowRecord(RouterContext context, CallerRequest request, long content) {
+    RequestLogger(RouterContext context, CallerRequest request, long contentHash) {
         mContext = context;
         mRequest = request;
-        mContent = Hashes.text(content);
+        mContentHash = Hashes.text(contentHash);
     }
 
     private long now() {
         return mContext.now();
     }
 
-    private void note(String what, String where) {
+    private void addNote(String what, String where) {
         mContext.decisions().note(mRequest.id(), what, where);
     }
 
-    void onChoice(Choice choice) {
-        mChoice = Optional.of(choice);
-        Pick p = choice.pick();
+    void onTargetSelected(Selection selection) {
+        mSelection = Optional.of(selection);
+        Pick p = selection.pick();
         Target t = p.target();
-        note(
+        addNote(
                 "chosen in pool "
-                        + choice.pool()
+                        + selection.pool()
                         + " as "
                         + p.reason()
                         + ", rank "
@@ -62,26 +62,26 @@
                 t.entry().id());
     }
 
-    void onWait(long millis) {
-        note("waits " + millis + " ms for a target that wants work again", "");
-        mContext.counters().onWait();
+    void onHeldForTarget(long millis) {
+        addNote("waiting " + millis + " ms for a target to accept requests again", "");
+        mContext.meters().onHeldForTarget();
     }
 
-    void onAttemptEnd(Attempt a, AttemptEnd end, int sent) {
-        note(
+    void onAttemptEnd(Attempt a, AttemptResult result, int sent) {
+        addNote(
                 "attempt ended "
-                        + end.kind()
-                        + (end.kind().mayHaveRun() ? ", may have run: " : ", not run: ")
-                        + end.detail(),
+                        + result.kind()
+                        + (result.kind().mayHaveRun() ? ", may have run: " : ", not run: ")
+                        + result.detail(),
                 a.target().entry().id());
         Event.of("attempt_ended")
                 .with("request", mRequest.id())
-                .with("content", mContent)
+                .with("content", mContentHash)
                 .with("target", a.target().entry().id())
                 .with("address", a.target().entry().address())
-                .with("end", end.kind())
-                .with("may_have_run", end.kind().mayHaveRun())
-                .with("detail", end.detail())
+                .with("end", result.kind())
+                .with("may_have_run", result.kind().mayHaveRun())
+                .with("detail", result.detail())
                 .with("sent", sent)
                 .with("age_ms", a.ageMillis(now()))
                 .with("target_share", a.target().health().share(now()))
@@ -89,24 +89,24 @@
     }
 
     void onEnd(String outcome, Summary s) {
-        long took = now() - mRequest.receivedMillis();
-        mContext.counters().onOutcome(outcome);
-        mContext.counters().onEnd(took);
-        note(outcome + " after " + took + " ms, configuration " + s.config(), "");
+        long durationMillis = now() - mRequest.receivedMillis();
+        mContext.meters().onOutcome(outcome);
+        mContext.meters().onEnd(durationMillis);
+        addNote(outcome + " after " + durationMillis + " ms, configuration " + s.config(), "");
         Event e =
                 Event.of(outcome)
                         .with("request", mRequest.id())
-                        .with("content", mContent)
+                        .with("content", mContentHash)
                         .with("route", s.route())
                         .with("team", s.team())
                         .with("config", s.config())
                         .with("sent", s.sent())
-                        .with("took_ms", took);
-        mChoice.ifPresent(c -> addChoice(e, c, s));
+                        .with("took_ms", durationMillis);
+        mSelection.ifPresent(c -> addSelection(e, c, s));
         e.log();
     }
 
-    private void addChoice(Event e, Choice c, Summary s) {
+    private void addSelection(Event e, Selection c, Summary s) {
         Target t = c.pick().target();
         e.with("pool", c.pool())
                 .with("target", t.entry().id())
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/EventSplitter.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/EventSplitter.java
@@ -9,32 +9,33 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of server-sent events at the events' borders, and remembers the last id passed.
+ * Splits a stream of server-sent events at event boundaries and keeps the last event id. Used on
+ * the event loop.
  *
- * <p>Bytes of an event that is not whole are held back, so that a stream which breaks off can be
- * continued without a torn event. Used on the event loop.
+ * <p>Bytes of an incomplete event are held back, so that an interrupted stream can be resumed after
+ * the last complete event.
  *
  * @since 0.2
  */
 public final class EventSplitter {
     private static final String ID = "id:";
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
-    private byte[] mHeld = NOTHING;
-    private byte[] mLast = NOTHING;
+    private byte[] mBuffered = EMPTY;
+    private byte[] mLastTaken = EMPTY;
 
     private EventSplitter() {}
 
-    /** Creates a splitter at the beginning of a stream. */
+    /** Creates a splitter for a new stream. */
     public static EventSplitter create() {
         return new EventSplitter();
     }
 
-    /** Takes bytes in. */
+    /** Adds received bytes. */
     public void add(ByteBuf bytes) {
         byte[] b = ByteBufUtil.getBytes(bytes);
-        mHeld = mHeld.length == 0 ? b : joined(mHeld, b);
+        mBuffered = mBuffered.length == 0 ? b : joined(mBuffered, b);
     }
 
     private static byte[] joined(byte[] a, byte[] b) {
@@ -43,16 +44,19 @@
         return both;
     }
 
-    /** Returns the whole events that have come since the last call; maybe none. */
-    public ByteBuf takeWhole() {
-        int end = endOfLastEvent(mHeld);
+    /** Returns the complete events received since the last call; may be empty. */
+    public ByteBuf takeCompleteEvents() {
+        int end = endOfLastEvent(mBuffered);
         if (end == 0) {
             return Unpooled.EMPTY_BUFFER;
         }
-        // Mostly all bytes are whole events: then they are passed on without another copy.
-        mLast = end == mHeld.length ? mHeld : Arrays.copyOf(mHeld, end);
-        mHeld = end == mHeld.length ? NOTHING : Arrays.copyOfRange(mHeld, end, mHeld.length);
-        return Unpooled.wrappedBuffer(mLast);
+        // Avoid another copy in the usual case of complete events only.
+        mLastTaken = end == mBuffered.length ? mBuffered : Arrays.copyOf(mBuffered, end);
+        mBuffered =
+                end == mBuffered.length
+                        ? EMPTY
+                        : Arrays.copyOfRange(mBuffered, end, mBuffered.length);
+        return Unpooled.wrappedBuffer(mLastTaken);
     }
 
     private static int endOfLastEvent(byte[] b) {
@@ -70,14 +74,14 @@
         return 0;
     }
 
-    /** Returns whether bytes of an unfinished event are held back. */
-    public boolean isHolding() {
-        return mHeld.length > 0;
+    /** Returns whether an incomplete event is buffered. */
+    public boolean hasPartialEvent() {
+        return mBuffered.length > 0;
     }
 
-    /** Returns the id of the last whole event passed. */
-    public Optional<String> lastId() {
-        String[] lines = new String(mLast, StandardCharsets.UTF_8).split("\r?\n");
+    /** Returns the id of the last event returned by {@link #takeCompleteEvents}. */
+    public Optional<String> lastEventId() {
+        String[] lines = new String(mLastTaken, StandardCharsets.UTF_8).split("\r?\n");
         for (int i = lines.length - 1; i >= 0; i--) {
             if (lines[i].startsWith(ID)) {
                 return Optional.of(lines[i].substring(ID.length()).strip());
--- a/forkseam-direct/src/main/java/org/forkseam/direct/io/HttpConnection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/io/HttpConnection.java
@@ -17,24 +17,24 @@
 import java.util.function.Predicate;
 
 /**
- * Is one connection to an HTTP server, with one exchange at a time.
+ * A connection to an HTTP server that carries one exchange at a time. Used on the event loop.
  *
- * <p>An answer that belongs to another request is read over and the connection is not used again.
- * Bytes that come while no answer is due end the connection. Used on the event loop.
+ * <p>A response that belongs to another request is skipped, and the connection is not reused. Bytes
+ * received without an active exchange close the connection.
  *
  * @since 0.2
  */
 public final class HttpConnection extends ChannelInboundHandlerAdapter {
     private final ConnectionPool mPool;
     private Channel mChannel;
-    private AnswerListener mListener;
-    private Predicate<HttpResponse> mBelongs;
+    private ResponseListener mListener;
+    private Predicate<HttpResponse> mMatchesRequest;
     private ChannelFuture mWritten;
-    private boolean mInAnswer;
+    private boolean mInResponse;
     private boolean mSkipping;
     private boolean mReusable = true;
     private long mIdleSince;
-    private long mKeepMillis = Long.MAX_VALUE;
+    private long mMaxIdleMillis = Long.MAX_VALUE;
 
     HttpConnection(ConnectionPool pool) {
         mPool = pool;
@@ -43,46 +43,48 @@
     // ---------------------------------------------------------------- use
 
     /**
-     * Sends a request and tells the listener what comes back.
+     * Sends a request; the listener receives the response.
      *
-     * @param belongs whether an answer's head belongs to this request
+     * @param matchesRequest tests whether a response head belongs to the request
      */
     public void send(
-            FullHttpRequest request, Predicate<HttpResponse> belongs, AnswerListener listener) {
+            FullHttpRequest request,
+            Predicate<HttpResponse> matchesRequest,
+            ResponseListener listener) {
         mListener = listener;
-        mBelongs = belongs;
-        mInAnswer = false;
+        mMatchesRequest = matchesRequest;
+        mInResponse = false;
         mSkipping = false;
         mWritten = mChannel.writeAndFlush(request);
     }
 
-    /** Ends the exchange under way without a further word to its listener. */
-    public void abandon() {
+    /** Aborts the exchange and closes the connection without calling the listener. */
+    public void abort() {
         mListener = null;
         close();
     }
 
-    /** Gives back a connection on which nothing was sent. */
-    public void giveBack() {
+    /** Returns a connection to the pool on which nothing was sent. */
+    public void release() {
         mPool.release(this, true);
     }
 
-    /** Stops or goes on reading, so that a slow reader downstream holds the sender up. */
-    public void setReading(boolean reading) {
-        mChannel.config().setAutoRead(reading);
+    /** Pauses or resumes reading, to apply backpressure to the server. */
+    public void setAutoRead(boolean autoRead) {
+        mChannel.config().setAutoRead(autoRead);
     }
 
-    /** Keeps the connection no longer than this when idle. */
-    public void keepAtMost(long millis) {
-        mKeepMillis = Math.min(mKeepMillis, millis);
+    /** Limits how long the connection may be idle. */
+    public void limitIdleMillis(long millis) {
+        mMaxIdleMillis = Math.min(mMaxIdleMillis, millis);
     }
 
-    /** Returns whether a request can be sent on it. */
+    /** Returns whether a request can be sent. */
     public boolean isUsable() {
         return mReusable && mChannel.isActive();
     }
 
-    /** Notes that no request uses it: whoever held the last answer up holds up no other. */
+    /** Marks the connection as idle and resumes reading. */
     void onIdle(long nowMillis) {
         mIdleSince = nowMillis;
         mChannel.config().setAutoRead(true);
@@ -92,8 +94,8 @@
         return nowMillis - mIdleSince;
     }
 
-    long keepMillis() {
-        return mKeepMillis;
+    long maxIdleMillis() {
+        return mMaxIdleMillis;
     }
 
     void close() {
@@ -103,7 +105,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- events of the channel
+    // ---------------------------------------------------------------- channel events
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
@@ -129,11 +131,11 @@
 
     private void onObject(HttpObject o) {
         if (mListener == null) {
-            close(); // bytes that belong to no request
+            close(); // data without an active request
             return;
         }
         if (o.decoderResult().isFailure()) {
-            breakOff(BreakKind.MALFORMED, String.valueOf(o.decoderResult().cause()));
+            fail(ExchangeFailure.MALFORMED, String.valueOf(o.decoderResult().cause()));
             return;
         }
         if (o instanceof HttpResponse r) {
@@ -145,23 +147,23 @@
     }
 
     private void onResponse(HttpResponse r) {
-        mInAnswer = true;
+        mInResponse = true;
         if (r.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             mSkipping = true;
             return;
         }
-        if (!mBelongs.test(r)) {
+        if (!mMatchesRequest.test(r)) {
             mSkipping = true;
             mReusable = false;
             return;
         }
-        if (!HttpUtil.isKeepAlive(r) || !hasEnd(r)) {
+        if (!HttpUtil.isKeepAlive(r) || !isSelfDelimited(r)) {
             mReusable = false;
         }
         mListener.onHead(r);
     }
 
-    private static boolean hasEnd(HttpResponse r) {
+    private static boolean isSelfDelimited(HttpResponse r) {
         return HttpUtil.isTransferEncodingChunked(r)
                 || HttpUtil.isContentLengthSet(r)
                 || r.status().code() == 204
@@ -172,7 +174,7 @@
         boolean last = c instanceof LastHttpContent;
         if (mSkipping) {
             mSkipping = !last;
-            mInAnswer = !last;
+            mInResponse = !last;
             return;
         }
         ByteBuf bytes = c.content();
@@ -185,34 +187,39 @@
     }
 
     private void complete() {
-        AnswerListener l = mListener;
+        ResponseListener l = mListener;
         mListener = null;
-        mInAnswer = false;
-        // An answer that came before the request was written whole leaves the rest of it due.
+        mInResponse = false;
+        // If the response came before the request was fully written, the connection is not
+        // reusable.
         boolean written = mWritten.isDone() && mWritten.isSuccess();
         mPool.release(this, written);
-        l.onEnd();
+        l.onComplete();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        breakOff(BreakKind.RESET, String.valueOf(cause.getMessage()));
+        fail(ExchangeFailure.RESET, String.valueOf(cause.getMessage()));
         close();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         mReusable = false;
-        breakOff(BreakKind.CLOSED, mInAnswer ? "within the answer" : "before the answer");
+        fail(
+                ExchangeFailure.CLOSED,
+                mInResponse
+                        ? "connection closed during the response"
+                        : "connection closed before the response");
         mPool.onClosed(this);
     }
 
-    private void breakOff(BreakKind kind, String detail) {
-        AnswerListener l = mListener;
+    private void fail(ExchangeFailure failure, String detail) {
+        ResponseListener l = mListener;
         mListener = null;
         close();
         if (l != null) {
-            l.onBroken(kind, detail);
+            l.onExchangeFailed(failure, detail);
         }
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
@@ -132,7 +132,7 @@
 
     void start() {
         if (!isStopped()) {
-            mSource.readOperators().whenComplete((read, e) -> onRead(read, e, this::applyAll));
+            mSource.readOperatorState().whenComplete((read, e) -> onRead(read, e, this::applyAll));
         }
     }
 
@@ -147,7 +147,7 @@
             return;
         }
         StorePosition since = mPosition;
-        mSource.awaitOperators(since, LONG_POLL_MILLIS)
+        mSource.awaitOperatorState(since, LONG_POLL_MILLIS)
                 .whenComplete((read, e) -> onLongPoll(read, e, since));
     }
 
@@ -201,7 +201,7 @@
     private void applyChanges(Versioned<OperatorState> read) {
         OperatorState s = read.value();
         s.config().ifPresent(c -> offer(c, "store"));
-        if (mEvacuations.change(read.position(), s.evacuated(), s.returned(), now())) {
+        if (mEvacuations.change(read.position(), s.evacuated(), s.restored(), now())) {
             onEvacuationsChanged("store");
         }
     }
@@ -221,7 +221,7 @@
     }
 
     private void onFailure(Throwable failure) {
-        if (SourceException.isHistoryGone(failure)) {
+        if (SourceException.isHistoryCompacted(failure)) {
             storeHealth().onSuccess();
             reread();
             return;
@@ -279,7 +279,7 @@
             return;
         }
         mReadInProgress = true;
-        mSource.readOperators()
+        mSource.readOperatorState()
                 .whenComplete(
                         (read, failure) -> {
                             mReadInProgress = false;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
@@ -101,7 +101,7 @@
         mLoop = loop;
         mClock = clock;
         mCalls = sources.calls();
-        mUnusable = sources.fleet()::unusableEntries;
+        mUnusable = sources.fleet()::invalidEntries;
         mPeerGroup = new PeerGroup(loop, self, random, this::onMessage);
         mPeerClient = PeerClient.of(loop, clock, sources.peers());
         FollowerBase.Context context =
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
@@ -188,7 +188,7 @@
         boolean otherHistory =
                 failure == null
                         ? !read.position().isOfEraOf(since)
-                        : SourceException.isHistoryGone(failure);
+                        : SourceException.isHistoryCompacted(failure);
         if (otherHistory) {
             rereadUnlessUpdated(() -> mPosition, this::follow, this::readAll);
             return;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
@@ -8,7 +8,7 @@
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.log.Event;
-import org.forkseam.direct.spi.AnswerHead;
+import org.forkseam.direct.spi.ResponseHead;
 
 import java.util.EnumMap;
 import java.util.List;
@@ -63,12 +63,12 @@
     // ---------------------------------------------------------------- responses
 
     /** Handles the signals in the headers of a target's response. */
-    public void onAnswer(Target t, AnswerHead head) {
+    public void onAnswer(Target t, ResponseHead head) {
         if (head.wrongTarget()) {
             record(t, Signal.REPLACED_BY_ANSWER, t.onReplaced());
             return;
         }
-        TargetWord word = head.word();
+        TargetWord word = head.signal();
         if (word.isNone()) {
             return;
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/log/StatusToStderr.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/log/StderrStatusListener.java
@@ -3,8 +3,8 @@
 import ch.qos.logback.core.status.Status;
 import ch.qos.logback.core.status.StatusListener;
 
-/** Writes what goes wrong within logging itself to standard error. Thread-safe. */
-final class StatusToStderr implements StatusListener {
+/** Prints warnings and errors of Logback itself to standard error. Thread-safe. */
+final class StderrStatusListener implements StatusListener {
     @Override
     public void addStatusEvent(Status s) {
         if (s.getEffectiveLevel() >= Status.WARN) {
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
@@ -50,7 +50,7 @@
         public CompletableFuture<Versioned<List<SharedRow>>> awaitChanges(
                 StorePosition since, long waitMillis) {
             if (waitMillis == 0) {
-                return CompletableFuture.failedFuture(SourceException.historyGone());
+                return CompletableFuture.failedFuture(SourceException.historyCompacted());
             }
             mLongPolls++;
             return new CompletableFuture<>();
