--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
@@ -63,7 +63,7 @@
         List<Target> admitted = mContext.coldStartLimiter().admitted(all, cold, now);
         int resting = all.size() - admitted.size() + countResting(admitted, now);
         CandidateFilter.Candidates c =
-                mContext.selectors().candidateFilter().of(admitted, mTried, now);
+                mContext.selectors().candidateFilter().apply(admitted, mTried, now);
         PickRequest request =
                 new PickRequest(
                         mKey, mSharedTokens, mContext.knowledge().seats().table(pool), resting);
@@ -151,7 +151,7 @@
         List<String> likely = known.seats().likelyHolders(pool, mKeyHash);
         mCopySource =
                 known.holders()
-                        .source(mKeyHash, t, likely, known.targets(), mContext.now())
+                        .copySource(mKeyHash, t, likely, known.targets(), mContext.now())
                         .map(s -> s.entry().address());
         return mCopySource;
     }
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/QuarantineTest.java
@@ -39,7 +39,7 @@
 class QuarantineTest {
     private static final long AWAIT_MILLIS = 5_000;
     private static final long CONTENT = 0x1234;
-    private static final String KEY = "quarantine/" + Hashes.text(CONTENT);
+    private static final String KEY = "quarantine/" + Hashes.toHex(CONTENT);
     private static final long TEN_MINUTES = 600_000;
     private static final int MAX_ROWS = 256;
 
@@ -279,7 +279,7 @@
         assertThat(mRows.mAll).isEmpty();
         mRouter.crash(CONTENT, 2);
         drainLoop();
-        assertThat(mRows.mAll.keySet()).containsExactly("suspect/" + Hashes.text(CONTENT));
+        assertThat(mRows.mAll.keySet()).containsExactly("suspect/" + Hashes.toHex(CONTENT));
         onLoop(() -> cutOff.receiveRows(STORE_CLOCK_OFFSET_MILLIS));
         assertThat(cutOff.verdict(CONTENT)).isEqualTo(Verdict.SERVE);
         cutOff.crash(CONTENT, 3);
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/RowFollowerTest.java
@@ -88,7 +88,7 @@
         FollowerBase.Context context =
                 new FollowerBase.Context(
                         mLoop,
-                        Clock.steady(),
+                        Clock.monotonic(),
                         random,
                         peers,
                         new StoreHealth(() -> {}),
