--- a/forkseam-core/src/main/java/org/forkseam/core/route/PromptHolderIndex.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/PromptHolderIndex.java
@@ -2,7 +2,7 @@
 
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
-import org.forkseam.core.member.TargetStart;
+import org.forkseam.core.member.TargetIncarnation;
 import org.forkseam.core.util.BoundedMap;
 
 import java.util.List;
@@ -27,7 +27,7 @@
     /** Time after which the prompt may have been evicted from a target's cache. */
     private static final long HOLDER_TTL_MILLIS = 60_000;
 
-    private final Map<Long, BoundedMap<TargetStart, Long>> mHoldersByKey =
+    private final Map<Long, BoundedMap<TargetIncarnation, Long>> mHoldersByKey =
             BoundedMap.byAccess(MAX_KEYS);
 
     private PromptHolderIndex() {}
@@ -41,8 +41,8 @@
      * Records that a target answered a request with a key. Returns whether the entry is new or had
      * expired.
      */
-    public boolean onAnswered(long key, TargetStart target, long nowMillis) {
-        BoundedMap<TargetStart, Long> holders =
+    public boolean onAnswered(long key, TargetIncarnation target, long nowMillis) {
+        BoundedMap<TargetIncarnation, Long> holders =
                 mHoldersByKey.computeIfAbsent(key, k -> BoundedMap.byAccess(MAX_HOLDERS));
         Long previous = holders.put(target, nowMillis);
         return previous == null || nowMillis - previous >= HOLDER_TTL_MILLIS;
@@ -60,9 +60,9 @@
             List<String> likely,
             TargetDirectory directory,
             long nowMillis) {
-        BoundedMap<TargetStart, Long> holders = mHoldersByKey.get(key);
+        BoundedMap<TargetIncarnation, Long> holders = mHoldersByKey.get(key);
         if (holders != null) {
-            Long at = holders.get(chosen.start());
+            Long at = holders.get(chosen.incarnation());
             if (at != null && nowMillis - at < HOLDER_TTL_MILLIS) {
                 return Optional.empty();
             }
@@ -75,13 +75,13 @@
     }
 
     private static Optional<Target> newestHolder(
-            Map<TargetStart, Long> holders,
+            Map<TargetIncarnation, Long> holders,
             Target chosen,
             TargetDirectory directory,
             long nowMillis) {
         Target best = null;
         long bestAt = nowMillis - HOLDER_TTL_MILLIS;
-        for (Map.Entry<TargetStart, Long> h : holders.entrySet()) {
+        for (Map.Entry<TargetIncarnation, Long> h : holders.entrySet()) {
             Optional<Target> t = directory.findReachable(h.getKey(), nowMillis);
             if (h.getValue() > bestAt
                     && t.isPresent()
@@ -109,6 +109,6 @@
 
     private static boolean isUsableSource(Target t, Target chosen, long nowMillis) {
         // A target that is recovering from failures still has its cache.
-        return t != chosen && t.health().share(nowMillis) > 0 && !t.isSilent(nowMillis);
+        return t != chosen && t.health().trafficShare(nowMillis) > 0 && !t.isSilent(nowMillis);
     }
 }
--- a/forkseam-core/src/main/java/org/forkseam/core/route/ShardPlanner.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/ShardPlanner.java
@@ -68,7 +68,7 @@
     public Optional<ShardTable> next(
             ShardTable current, List<Target> pool, Demand demand, long nowMillis) {
         Map<String, Target> usable = new HashMap<>();
-        pool.stream().filter(Target::stays).forEach(t -> usable.put(t.entry().id(), t));
+        pool.stream().filter(Target::isPoolMember).forEach(t -> usable.put(t.entry().id(), t));
         trackChanges(current, usable, nowMillis);
         ShardTable next = current;
         for (Target t : unassigned(current, usable)) {
--- a/forkseam-core/src/test/java/org/forkseam/core/route/PoolSimulation.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/PoolSimulation.java
@@ -306,7 +306,7 @@
         mSpillRates.get(simulated.mRouter).onPick(pick.reason(), (long) mNow);
         simulated.mOutcome.mSpilled += pick.reason() == Pick.Reason.HOME ? 0 : 1;
         Target t = pick.target();
-        t.onSent((long) mNow);
+        t.onRequestSent((long) mNow);
         simulated.mTarget = t;
         simulated.mEngine = mEngines.get(targets.indexOf(t));
         schedule(mNow + NETWORK_DELAY_MILLIS, () -> simulated.mEngine.enqueue(simulated));
@@ -321,7 +321,7 @@
     double meanReadingAge() {
         return mRouters.stream()
                 .flatMap(List::stream)
-                .mapToLong(t -> t.readingAgeMillis((long) mNow))
+                .mapToLong(t -> t.loadReportAgeMillis((long) mNow))
                 .map(age -> age < 0 ? 10_000 : age)
                 .average()
                 .orElseThrow();
@@ -403,7 +403,7 @@
             if (mNow - simulated.mArrivedAt > simulated.mClass.deadline()) {
                 simulated.mOutcome.mExpired++;
             }
-            simulated.mTarget.onLoad(load(), (long) mNow);
+            simulated.mTarget.onLoadReported(load(), (long) mNow);
             double step = STEP_MILLIS + STEP_MILLIS_PER_1K_TOKENS * mContextTokens / 1_000;
             double event = mSetup.fleet().mTokensPerEvent * step;
             schedule(mNow + drawEvents(simulated.mClass) * event, () -> onEnd(simulated));
@@ -419,7 +419,7 @@
         }
 
         private void onEnd(SimulatedRequest simulated) {
-            simulated.mTarget.onEnded();
+            simulated.mTarget.onRequestEnded();
             mRunning--;
             mContextTokens -= simulated.mClass.sharedTokens() + simulated.mClass.uniqueTokens();
             if (!mQueue.isEmpty()) {
--- a/forkseam-core/src/test/java/org/forkseam/core/route/SaturatedTargetsTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/route/SaturatedTargetsTest.java
@@ -33,8 +33,8 @@
     @Test
     void saturatedHomeSpillsWhileOthersHaveCapacity() {
         Target home = home();
-        mPool.forEach(t -> t.onLoad(8, 0));
-        home.onLoad(16, 0);
+        mPool.forEach(t -> t.onLoadReported(8, 0));
+        home.onLoadReported(16, 0);
         Pick p = mPicker.pick(REQUEST, mPool, 0).orElseThrow();
         assertThat(p.reason()).isEqualTo(Pick.Reason.SPILL);
         assertThat(p.load()).isEqualTo(8);
@@ -43,15 +43,15 @@
     @Test
     void homeWithFreeSlotsKeepsItsKeys() {
         Target home = home();
-        mPool.forEach(t -> t.onLoad(4, 0));
-        home.onLoad(8, 0);
+        mPool.forEach(t -> t.onLoadReported(4, 0));
+        home.onLoadReported(8, 0);
         assertThat(mPicker.pick(REQUEST, mPool, 0).orElseThrow().target()).isSameInstanceAs(home);
     }
 
     @Test
     void equallySaturatedTargetsKeepTheirKeys() {
         Target home = home();
-        mPool.forEach(t -> t.onLoad(14, 0));
+        mPool.forEach(t -> t.onLoadReported(14, 0));
         assertThat(mPicker.pick(REQUEST, mPool, 0).orElseThrow().target()).isSameInstanceAs(home);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptResult.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AttemptResult.java
@@ -67,17 +67,17 @@
      */
     void recordOn(Target t, ErrorRate poolRate, long nowMillis) {
         if (kind == Kind.ANSWERED || kind == Kind.FAILED) {
-            t.errors().note(kind == Kind.FAILED);
-            poolRate.note(kind == Kind.FAILED);
+            t.errors().addResult(kind == Kind.FAILED);
+            poolRate.addResult(kind == Kind.FAILED);
         }
         switch (kind) {
             case ANSWERED -> t.health().onSuccess(nowMillis);
             case FAILED -> {
-                if (t.errors().standsOutOf(poolRate)) {
+                if (t.errors().isOutlierIn(poolRate)) {
                     t.health().onFailure(nowMillis);
                 }
             }
-            case REFUSED -> t.onRefused(nowMillis);
+            case REFUSED -> t.onRequestRefused(nowMillis);
             default -> {
                 if (kind.isFailure()) {
                     t.health().onFailure(nowMillis);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/CrashDetector.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.flow;
 
 import org.forkseam.core.member.Target;
-import org.forkseam.core.member.TargetStart;
+import org.forkseam.core.member.TargetIncarnation;
 import org.forkseam.direct.io.ConnectionCallback;
 import org.forkseam.direct.io.ExchangeFailure;
 import org.forkseam.direct.io.HttpConnection;
@@ -32,7 +32,7 @@
 
     private final TargetConnections mTargets;
     private final Quarantine mQuarantine;
-    private final Map<TargetStart, Probe> mProbes = new HashMap<>();
+    private final Map<TargetIncarnation, Probe> mProbes = new HashMap<>();
     private long mCrashCount;
 
     CrashDetector(TargetConnections targets, Quarantine quarantine) {
@@ -58,11 +58,11 @@
             callback.run();
             return;
         }
-        Probe probe = mProbes.get(t.start());
+        Probe probe = mProbes.get(t.incarnation());
         boolean isNew = probe == null;
         if (isNew) {
             probe = new Probe(t);
-            mProbes.put(t.start(), probe);
+            mProbes.put(t.incarnation(), probe);
         }
         probe.mContentHashes.add(contentHash);
         boolean mayQuarantine = mQuarantine.isOneCrashFromConviction(contentHash);
@@ -114,7 +114,7 @@
         }
 
         private void finish() {
-            mProbes.remove(mTarget.start());
+            mProbes.remove(mTarget.incarnation());
             mCallbacks.forEach(Runnable::run);
         }
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestFlow.java
@@ -256,7 +256,7 @@
                         result,
                         route(),
                         cannotResume,
-                        () -> mContext.retryBudgets().pool(pool()).tryRepeat(now));
+                        () -> mContext.retryBudgets().pool(pool()).tryRetry(now));
     }
 
     // ---------------------------------------------------------------- streams
@@ -322,7 +322,7 @@
     }
 
     private void replaceStalledAttempt(long now) {
-        if (mContext.retryBudgets().pool(pool()).left(now) < 1) {
+        if (mContext.retryBudgets().pool(pool()).remaining(now) < 1) {
             return;
         }
         Attempt a = mAttempt;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
@@ -3,7 +3,7 @@
 import org.forkseam.core.member.Evacuations;
 import org.forkseam.core.share.StoreReaderRole;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.core.traffic.ConfigChange;
 import org.forkseam.core.traffic.TrafficConfig;
 import org.forkseam.direct.log.Event;
@@ -42,7 +42,7 @@
     private TrafficConfig mConfig = TrafficConfig.none();
     private StorePosition mPosition = StorePosition.NONE;
     private long mConfirmedAt;
-    private StoreTime mReadAt = StoreTime.NEVER;
+    private StoreTimestamp mReadAt = StoreTimestamp.NEVER;
     private int mFailures;
     private boolean mReadInProgress;
     private Future<?> mSettleTask;
@@ -102,13 +102,13 @@
      * kept.
      */
     private void scheduleSettle() {
-        if (mEvacuations.isOpen(now()) && (mSettleTask == null || mSettleTask.isDone())) {
-            mSettleTask = schedule(mEvacuations.heldUntil() - now(), this::settle);
+        if (mEvacuations.isReconciling(now()) && (mSettleTask == null || mSettleTask.isDone())) {
+            mSettleTask = schedule(mEvacuations.retainUntil() - now(), this::settle);
         }
     }
 
     private void settle() {
-        if (mEvacuations.settle(now())) {
+        if (mEvacuations.reconcile(now())) {
             onEvacuationsChanged("store, settled");
         }
         scheduleSettle(); // the store may have been restored again
@@ -153,7 +153,7 @@
 
     /** Revisions of different eras are not comparable, so a change of era requires a full read. */
     private void onLongPoll(Versioned<OperatorState> read, Throwable failure, StorePosition since) {
-        if (failure == null && !read.position().isOfEraOf(since)) {
+        if (failure == null && !read.position().isSameEraAs(since)) {
             storeHealth().onSuccess();
             reread();
             return;
@@ -201,7 +201,7 @@
     private void applyChanges(Versioned<OperatorState> read) {
         OperatorState s = read.value();
         s.config().ifPresent(c -> offer(c, "store"));
-        if (mEvacuations.change(read.position(), s.evacuated(), s.restored(), now())) {
+        if (mEvacuations.applyChanges(read.position(), s.evacuated(), s.restored(), now())) {
             onEvacuationsChanged("store");
         }
     }
@@ -213,7 +213,7 @@
                         read.position(),
                         mConfig.version(),
                         mEvacuations.fingerprint(),
-                        List.copyOf(mEvacuations.told()));
+                        List.copyOf(mEvacuations.reported()));
         boolean newer = mEvacuations.position().isAfter(read.position()); // received from a peer
         if (newer || !peers().broadcast(m)) {
             peers().broadcast(m.withoutDomains());
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/EraCheckedSharedRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/EraCheckedSharedRows.java
@@ -55,7 +55,7 @@
     /** Logs a write during which the store was restored: the value that it replaced is unknown. */
     private SharedRow verifyWritten(SharedRow row, boolean mustExist, StorePosition expected) {
         EraCheckedFleetSource.check(mEra, row.position());
-        if (mustExist && !row.position().isOfEraOf(expected)) {
+        if (mustExist && !row.position().isSameEraAs(expected)) {
             Event.always("row_written_unseen")
                     .with("row", row.key())
                     .with("expected", expected)
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Knowledge.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 
-import org.forkseam.core.admit.ColdShare;
+import org.forkseam.core.admit.ColdStartShare;
 import org.forkseam.core.kernel.Service;
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
@@ -253,7 +253,7 @@
      * Returns this router's share of a cold target's capacity; empty while the other routers are
      * unknown.
      */
-    public Optional<ColdShare> shareFor(long targetHash) {
+    public Optional<ColdStartShare> shareFor(long targetHash) {
         return mRows.knowsRouters()
                 ? Optional.of(mPeerGroup.shareFor(targetHash))
                 : Optional.empty();
@@ -374,7 +374,7 @@
         @Override
         public void onEvacuated(Set<String> domains) {
             mEvacuationChanges++;
-            targets().setEvacuated(domains, mClock.nowMillis());
+            targets().setEvacuatedDomains(domains, mClock.nowMillis());
         }
     }
 
@@ -432,7 +432,7 @@
     private void onStoreRecovered() {
         long now = mClock.nowMillis();
         long listAge = now - mTargets.confirmedAt();
-        targets().onSourceBack(now, listAge);
+        targets().onSourceRecovered(now, listAge);
         Event.always("store_back")
                 .with("config", config().version())
                 .with("list_age_ms", listAge)
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
@@ -1,9 +1,9 @@
 package org.forkseam.direct.know;
 
+import org.forkseam.core.member.AvailabilitySignal;
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
-import org.forkseam.core.member.TargetStart;
-import org.forkseam.core.member.TargetWord;
+import org.forkseam.core.member.TargetIncarnation;
 import org.forkseam.core.share.GossipQueue;
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.core.util.Clock;
@@ -38,7 +38,8 @@
     private final TargetDirectory mTargets;
     private final Clock mClock;
     private final GossipQueue<Integer> mLeavingExchange = GossipQueue.of(MAX_LEAVING, f -> 0);
-    private final Map<TargetStart, Boolean> mLogged = BoundedMap.byInsertion(MAX_LOGGED_STARTS);
+    private final Map<TargetIncarnation, Boolean> mLogged =
+            BoundedMap.byInsertion(MAX_LOGGED_STARTS);
     private final Map<Signal, Long> mCounts = new EnumMap<>(Signal.class);
 
     /** Kind of signal and its source. */
@@ -68,7 +69,7 @@
             record(t, Signal.REPLACED_BY_ANSWER, t.onReplaced());
             return;
         }
-        TargetWord word = head.signal();
+        AvailabilitySignal word = head.signal();
         if (word.isNone()) {
             return;
         }
@@ -80,7 +81,7 @@
     }
 
     private void onLeaving(Target t) {
-        boolean isNew = t.onSaysLeaving();
+        boolean isNew = t.onLeavingAnnounced();
         record(t, Signal.LEAVING_BY_ANSWER, isNew);
         if (isNew) {
             mLeavingExchange.add(t.shortHash());
@@ -93,7 +94,7 @@
 
     private void onMalformed(Target t, String field) {
         count(Signal.MALFORMED_BY_ANSWER);
-        if (mLogged.put(t.start(), true) == null) {
+        if (mLogged.put(t.incarnation(), true) == null) {
             Event.always("target_word_malformed")
                     .with("target", t.entry().id())
                     .with("field", field)
@@ -112,7 +113,7 @@
     void apply(List<Integer> leaving) {
         for (int start : leaving) {
             count(Signal.LEAVING_BY_ROUTER);
-            mTargets.onToldLeaving(start)
+            mTargets.onLeavingReported(start)
                     .ifPresent(
                             t -> {
                                 log(t, Signal.LEAVING_BY_ROUTER);
--- a/forkseam-direct/src/main/java/org/forkseam/direct/spi/Versioned.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/spi/Versioned.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.spi;
 
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 
 /**
  * A value read from a source, with its position in the source's history. Immutable.
@@ -14,7 +14,7 @@
  */
 public record Versioned<T>(StorePosition position, long readAt, T value) {
     /** Returns the time of the read. */
-    public StoreTime readTime() {
-        return StoreTime.of(position.era(), readAt);
+    public StoreTimestamp readTime() {
+        return StoreTimestamp.of(position.era(), readAt);
     }
 }
