--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempt.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempt.java
@@ -16,51 +16,51 @@
 import org.forkseam.wire.proto.Submit;
 
 /**
- * Is one try at one target, over as many connections as it takes. Used on the event loop.
+ * One attempt to run a request on one target. Not thread-safe: used on the event loop only.
  *
- * <p>A connection that is cut is opened again and the answer taken up where it stopped; only when
- * that fails is the attempt lost.
+ * <p>If the link closes, the attempt reconnects and resumes the response where it stopped. It fails
+ * only when it cannot be resumed.
  */
 final class Attempt {
-    /** Is told what comes of the attempt. */
+    /** Receives the events of an attempt. */
     interface Listener {
-        /** Receives status and headers. */
+        /** Called with the status and headers of the response. */
         void onHead(Attempt attempt, Head head);
 
-        /** Receives the next part of the answer, in order. */
+        /** Called with the next part of the response body, in order. */
         void onData(Attempt attempt, byte[] data);
 
-        /** Receives that the answer is whole. */
-        void onWhole(Attempt attempt, End end);
+        /** Called when the response is complete. */
+        void onComplete(Attempt attempt, End end);
 
-        /** Receives that there is no answer, or no more of it. */
-        void onLost(Attempt attempt, Refused why);
+        /** Called when the attempt was refused or its response cannot be completed. */
+        void onFailed(Attempt attempt, Refused why);
     }
 
-    /** Bytes of an answer under way to a caller that does not read. */
-    static final long WINDOW = 128 << 10;
+    /** Flow-control window: maximum bytes in transit that the caller has not consumed. */
+    static final long WINDOW_BYTES = 128 << 10;
 
     private static final int MAX_RESUMES = 4;
     private static final long RESUME_DELAY_MILLIS = 60;
 
-    private final Attempts mAttempts;
+    private final AttemptRegistry mAttempts;
     private final Candidate mCandidate;
     private final Submit mSubmit;
     private final Listener mListener;
     private final AnswerAssembler mAssembler = new AnswerAssembler();
     private Link mLink;
-    private long mStream;
+    private long mStreamId;
     private long mIncarnation;
-    private boolean mOver;
-    private boolean mHeadSeen;
+    private boolean mFinished;
+    private boolean mHeadReceived;
     private End mEnd;
     private int mResumes;
     private long mReceivedBytes;
-    private long mTakenBytes;
-    private long mBytesBeforeStream;
-    private long mAllowedBytes = WINDOW;
+    private long mConsumedBytes;
+    private long mBytesBeforeResume;
+    private long mCreditBytes = WINDOW_BYTES;
 
-    Attempt(Attempts attempts, Candidate candidate, Submit submit, Listener listener) {
+    Attempt(AttemptRegistry attempts, Candidate candidate, Submit submit, Listener listener) {
         mAttempts = attempts;
         mCandidate = candidate;
         mSubmit = submit;
@@ -75,8 +75,8 @@
         return mLink;
     }
 
-    boolean isOver() {
-        return mOver;
+    boolean isFinished() {
+        return mFinished;
     }
 
     // ---------------------------------------------------------------- sending
@@ -87,69 +87,69 @@
     }
 
     private void onConnected(Link link) {
-        if (mOver) {
+        if (mFinished) {
             return;
         }
         mIncarnation = link.peer().getIncarnation();
-        open(link);
+        registerOn(link);
         link.send(
                 mAttempts
                         .packet()
-                        .setSubmit(mSubmit.toBuilder().setStream(mStream).setWindow(WINDOW))
+                        .setSubmit(mSubmit.toBuilder().setStream(mStreamId).setWindow(WINDOW_BYTES))
                         .build());
     }
 
-    private void open(Link link) {
+    private void registerOn(Link link) {
         mLink = link;
-        mStream = mAttempts.register(this);
+        mStreamId = mAttempts.register(this);
     }
 
     private void onUnreachable(Throwable cause) {
-        lose(
+        fail(
                 Refused.notRun(RefusalReason.UNREACHABLE, 1_000)
                         .withDetail(String.valueOf(cause.getMessage())));
     }
 
-    /** Notes that the caller took bytes, and gives the sidecar credit for as many. */
-    void onTaken(int bytes) {
-        mTakenBytes += bytes;
-        long wanted = mTakenBytes + WINDOW;
-        if (!mOver && mLink != null && wanted - mAllowedBytes >= WINDOW / 2) {
-            mAllowedBytes = wanted;
+    /** Records bytes consumed by the caller and grants the sidecar more credit. */
+    void onConsumed(int bytes) {
+        mConsumedBytes += bytes;
+        long wanted = mConsumedBytes + WINDOW_BYTES;
+        if (!mFinished && mLink != null && wanted - mCreditBytes >= WINDOW_BYTES / 2) {
+            mCreditBytes = wanted;
             Credit c =
                     Credit.newBuilder()
-                            .setStream(mStream)
-                            .setTotalBytes(mAllowedBytes - mBytesBeforeStream)
+                            .setStream(mStreamId)
+                            .setTotalBytes(mCreditBytes - mBytesBeforeResume)
                             .setAckedSequence(mAssembler.nextSequence())
                             .build();
             mLink.send(mAttempts.packet().setCredit(c).build());
         }
     }
 
-    /** Ends the attempt since nobody waits for it. */
+    /** Cancels the attempt, here and at the sidecar. */
     void cancel() {
-        if (mOver) {
+        if (mFinished) {
             return;
         }
         finish();
         if (mLink != null) {
-            Cancel c = Cancel.newBuilder().setStream(mStream).build();
+            Cancel c = Cancel.newBuilder().setStream(mStreamId).build();
             mLink.send(mAttempts.packet().setCancel(c).build());
         }
     }
 
     private void finish() {
-        mOver = true;
-        mAttempts.unregister(mStream);
+        mFinished = true;
+        mAttempts.unregister(mStreamId);
         mCandidate.target().onEnded();
     }
 
-    private void lose(Refused why) {
-        if (mOver) {
+    private void fail(Refused why) {
+        if (mFinished) {
             return;
         }
         finish();
-        mListener.onLost(this, why);
+        mListener.onFailed(this, why);
     }
 
     // ---------------------------------------------------------------- receiving
@@ -158,8 +158,8 @@
         if (head.hasResumedFrom()) {
             mAssembler.onResumedElsewhere();
         }
-        if (!mHeadSeen) {
-            mHeadSeen = true;
+        if (!mHeadReceived) {
+            mHeadReceived = true;
             mListener.onHead(this, head);
         }
     }
@@ -169,36 +169,38 @@
             mReceivedBytes += data.length;
             mListener.onData(this, data);
         }
-        check();
+        checkCompletion();
     }
 
     void onEnd(End end) {
         if (!end.getError().isEmpty()) {
-            lose(Refused.failed(RefusalReason.BROKEN_ANSWER, end.getError()));
+            fail(Refused.failed(RefusalReason.BROKEN_ANSWER, end.getError()));
             return;
         }
         mEnd = end;
         mAssembler.onEnd(end.getFrameCount(), end.getChecksum());
-        check();
-        if (!mOver && mAssembler.state() == AnswerAssembler.State.OPEN) {
+        checkCompletion();
+        if (!mFinished && mAssembler.state() == AnswerAssembler.State.OPEN) {
             resume();
         }
     }
 
-    private void check() {
+    private void checkCompletion() {
         switch (mAssembler.state()) {
             case WHOLE -> {
                 finish();
-                mListener.onWhole(this, mEnd);
+                mListener.onComplete(this, mEnd);
             }
             case BROKEN -> {
                 cancel();
-                mListener.onLost(
+                mListener.onFailed(
                         this,
-                        Refused.failed(RefusalReason.BROKEN_ANSWER, "frames do not fit the end"));
+                        Refused.failed(
+                                RefusalReason.BROKEN_ANSWER,
+                                "frames do not match the frame count or checksum of the end"));
             }
             default -> {
-                // More frames are to come.
+                // More frames are expected.
             }
         }
     }
@@ -211,59 +213,61 @@
                         r.getRetryAfterMillis(),
                         r.getOwner(),
                         r.getDetail());
-        lose(why);
+        fail(why);
     }
 
-    // ---------------------------------------------------------------- cut connections
+    // ---------------------------------------------------------------- resumption
 
-    void onCut() {
-        mAttempts.unregister(mStream);
+    void onLinkClosed() {
+        mAttempts.unregister(mStreamId);
         mLink = null;
         resume();
     }
 
     private void resume() {
-        mAttempts.unregister(mStream);
+        mAttempts.unregister(mStreamId);
         if (mResumes++ >= MAX_RESUMES) {
-            lose(Refused.mayHaveRun(RefusalReason.CUT));
+            fail(Refused.mayHaveRun(RefusalReason.CUT));
             return;
         }
         long delay = mResumes == 1 ? 1 : RESUME_DELAY_MILLIS << mResumes;
-        mAttempts.later(
+        mAttempts.schedule(
                 delay,
                 () -> {
-                    if (!mOver) {
+                    if (!mFinished) {
                         mAttempts.connect(
-                                mCandidate.target().address(), this::onReconnected, e -> onGone());
+                                mCandidate.target().address(),
+                                this::onReconnected,
+                                e -> onReconnectFailed());
                     }
                 });
     }
 
-    /** A sidecar that is gone may come back; a request that can go elsewhere does not wait. */
-    private void onGone() {
-        if (mHeadSeen || mSubmit.getUnrepeatable()) {
+    /** Keeps resuming if the request cannot be retried on another target; otherwise fails. */
+    private void onReconnectFailed() {
+        if (mHeadReceived || mSubmit.getUnrepeatable()) {
             resume();
         } else {
-            lose(Refused.mayHaveRun(RefusalReason.CUT));
+            fail(Refused.mayHaveRun(RefusalReason.CUT));
         }
     }
 
     private void onReconnected(Link link) {
-        if (mOver) {
+        if (mFinished) {
             return;
         }
-        open(link);
-        mBytesBeforeStream = mReceivedBytes;
-        mAllowedBytes = Math.max(mAllowedBytes, mReceivedBytes + WINDOW);
+        registerOn(link);
+        mBytesBeforeResume = mReceivedBytes;
+        mCreditBytes = Math.max(mCreditBytes, mReceivedBytes + WINDOW_BYTES);
         Resume r =
                 Resume.newBuilder()
-                        .setStream(mStream)
+                        .setStream(mStreamId)
                         .setAttemptKey(mSubmit.getAttemptKey())
                         .setFromSequence(mAssembler.nextSequence())
-                        .setWindow(mAllowedBytes - mBytesBeforeStream)
+                        .setWindow(mCreditBytes - mBytesBeforeResume)
                         .setIncarnation(mIncarnation)
                         .setStripUsage(mSubmit.getStripUsage())
-                        .setEngineStream(mHeadSeen && mSubmit.getChat())
+                        .setEngineStream(mHeadReceived && mSubmit.getChat())
                         .build();
         link.send(mAttempts.packet().setResume(r).build());
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempts.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/AttemptRegistry.java
@@ -19,10 +19,12 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Passes what sidecars send to the attempts concerned. Used on the event loop. */
-final class Attempts implements PacketSink {
-    /** A sidecar with work of ours that says nothing for so long is taken to be frozen. */
-    private static final long SILENT_MILLIS = 4_000;
+/**
+ * Dispatches packets from sidecars to open attempts. Not thread-safe: used on the event loop only.
+ */
+final class AttemptRegistry implements PacketSink {
+    /** Silence after which a sidecar with open attempts is considered unresponsive. */
+    private static final long SIDECAR_SILENCE_TIMEOUT_MILLIS = 4_000;
 
     private final Eventloop mLoop;
     private final Clock mClock;
@@ -30,9 +32,9 @@
     private final FleetSync mSync;
     private final Links mLinks;
     private final Map<Long, Attempt> mOpen = new HashMap<>();
-    private long mNextStream = 1;
+    private long mNextStreamId = 1;
 
-    Attempts(Eventloop loop, Clock clock, Fleet fleet, FleetSync sync, Links links) {
+    AttemptRegistry(Eventloop loop, Clock clock, Fleet fleet, FleetSync sync, Links links) {
         mLoop = loop;
         mClock = clock;
         mFleet = fleet;
@@ -45,7 +47,7 @@
     }
 
     long register(Attempt attempt) {
-        long stream = mNextStream++;
+        long stream = mNextStreamId++;
         mOpen.put(stream, attempt);
         return stream;
     }
@@ -54,11 +56,11 @@
         mOpen.remove(stream);
     }
 
-    int open() {
+    int openCount() {
         return mOpen.size();
     }
 
-    void later(long millis, Runnable task) {
+    void schedule(long millis, Runnable task) {
         mLoop.delay(millis, task);
     }
 
@@ -74,11 +76,11 @@
                         });
     }
 
-    /** Cuts links whose sidecar holds work of ours and is silent. */
-    void cutSilent() {
+    /** Closes links to sidecars that have open attempts but have been silent for too long. */
+    void closeSilentLinks() {
         Set<Link> silent = new HashSet<>();
         for (Attempt a : mOpen.values()) {
-            if (a.link() != null && a.link().silentMillis() > SILENT_MILLIS) {
+            if (a.link() != null && a.link().silentMillis() > SIDECAR_SILENCE_TIMEOUT_MILLIS) {
                 silent.add(a.link());
             }
         }
@@ -89,42 +91,42 @@
     public void onPacket(Link link, Packet p) {
         switch (p.getBodyCase()) {
             case HEAD -> {
-                learn(link, p.getHead().getDigestsList());
-                of(link, p.getHead().getStream()).ifPresent(a -> a.onHead(p.getHead()));
+                updateLoads(link, p.getHead().getDigestsList());
+                find(link, p.getHead().getStream()).ifPresent(a -> a.onHead(p.getHead()));
             }
             case FRAME ->
-                    of(link, p.getFrame().getStream()).ifPresent(a -> a.onFrame(p.getFrame()));
+                    find(link, p.getFrame().getStream()).ifPresent(a -> a.onFrame(p.getFrame()));
             case END -> {
-                of(link, p.getEnd().getStream()).ifPresent(a -> a.onEnd(p.getEnd()));
-                learn(link, p.getEnd().getDigestsList());
+                find(link, p.getEnd().getStream()).ifPresent(a -> a.onEnd(p.getEnd()));
+                updateLoads(link, p.getEnd().getDigestsList());
             }
             case REFUSAL -> {
-                learn(link, p.getRefusal().getDigestsList());
-                of(link, p.getRefusal().getStream()).ifPresent(a -> a.onRefusal(p.getRefusal()));
+                updateLoads(link, p.getRefusal().getDigestsList());
+                find(link, p.getRefusal().getStream()).ifPresent(a -> a.onRefusal(p.getRefusal()));
             }
             default -> {
-                // The other sinks' concern.
+                // Handled by other sinks.
             }
         }
     }
 
-    /** Finds an attempt, but only for the peer it was sent to. */
-    private Optional<Attempt> of(Link link, long stream) {
+    /** Finds an open attempt by stream id, if it was sent over this link. */
+    private Optional<Attempt> find(Link link, long stream) {
         return Optional.ofNullable(mOpen.get(stream)).filter(a -> a.link() == link);
     }
 
-    private void learn(Link link, List<org.forkseam.wire.proto.LoadDigest> digests) {
+    private void updateLoads(Link link, List<org.forkseam.wire.proto.LoadDigest> digests) {
         mFleet.learn(link, digests, mClock.nowMillis());
     }
 
     @Override
     public void onClosed(Link link) {
-        List<Attempt> cut = new ArrayList<>();
+        List<Attempt> affected = new ArrayList<>();
         for (Attempt a : mOpen.values()) {
             if (a.link() == link) {
-                cut.add(a);
+                affected.add(a);
             }
         }
-        cut.forEach(Attempt::onCut);
+        affected.forEach(Attempt::onLinkClosed);
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/BadRequestException.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/BadRequestException.java
@@ -1,6 +1,6 @@
 package org.forkseam.daemon.router;
 
-/** Reports a caller's request that cannot be read, with the place and what is allowed. */
+/** Signals a malformed request; the message names the invalid part and what is allowed. */
 final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/CallerSockets.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/CallerDisconnectDetector.java
@@ -10,31 +10,31 @@
 import java.nio.ByteBuffer;
 
 /**
- * Tells whether the caller of a request that is being served has hung up.
+ * Detects callers that disconnect while their request is being processed. Not thread-safe: used on
+ * the event loop only.
  *
- * <p>The HTTP library does not read from a connection while it awaits the answer, so it notices a
- * caller who left only when it writes; a queued request would keep its place. This class learns
- * which socket belongs to which connection and looks for the end of the stream itself. A caller
- * that sends its next request before the answer loses the first byte of it and gets a 400:
- * pipelining is not served. Used on the event loop.
+ * <p>The HTTP server does not read from a connection while a response is pending, so it would
+ * notice a disconnect only on write. This class maps connections to sockets and checks for end of
+ * stream itself. The check consumes a byte of a pipelined request, which then fails with status
+ * 400: pipelining is not supported.
  */
-final class CallerSockets extends AbstractInspector<TcpSocket.Inspector>
+final class CallerDisconnectDetector extends AbstractInspector<TcpSocket.Inspector>
         implements TcpSocket.Inspector {
     private final ByteBuffer mByte = ByteBuffer.allocate(1);
     private TcpSocket mLastRead;
 
-    /** Returns the socket of a request; must be called as soon as the request is handed over. */
-    TcpSocket of(HttpRequest http) {
+    /** Returns the socket of a request; must be called when the request is first received. */
+    TcpSocket socketOf(HttpRequest http) {
         HttpServerConnection c = http.getConnection();
         if (c.getUserData() == null) {
-            // A connection's first request is handed over within the read that brought its head.
+            // The first request of a connection is dispatched during the read of its headers.
             c.setUserData(mLastRead);
         }
         return (TcpSocket) c.getUserData();
     }
 
-    /** Returns whether the other side has closed its connection. */
-    boolean isGone(TcpSocket socket) {
+    /** Returns whether the caller has closed its connection. */
+    boolean isDisconnected(TcpSocket socket) {
         if (socket.isClosed()) {
             return true;
         }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/CallerHeaders.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/CallerHeaders.java
@@ -3,7 +3,7 @@
 import io.activej.http.HttpHeader;
 import io.activej.http.HttpHeaders;
 
-/** Names the headers that callers and routers exchange. */
+/** HTTP headers exchanged between callers and routers. */
 final class CallerHeaders {
     static final String PREFIX = "forkseam-";
     static final HttpHeader REQUEST_ID = HttpHeaders.register("Forkseam-Request-Id");
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/CallerRequest.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/CallerRequest.java
@@ -8,18 +8,18 @@
 import java.util.OptionalLong;
 
 /**
- * Holds a caller's request, read and checked.
+ * A parsed and validated request of a caller. Immutable.
  *
- * @param id the request's id, the caller's own or a new one
- * @param idGiven whether the caller brought the id
- * @param team the team the caller names
- * @param labels what intents select by
- * @param deadlineMillis time allowed until the answer starts, if the caller set it
- * @param priority if the caller set it
+ * @param id request id, generated if the caller sent none
+ * @param idGiven whether the caller sent the id
+ * @param team team named by the caller
+ * @param labels labels that intents match on
+ * @param deadlineMillis time allowed until the response starts, if set by the caller
+ * @param priority priority, if set by the caller
  * @param unrepeatable whether the request may run at most once
- * @param ticket the chat ticket as it came, or empty
- * @param prompt what placement needs of a chat
- * @param forward what goes to the target
+ * @param ticket chat ticket sent by the caller, not yet verified, or empty
+ * @param prompt properties of the prompt used for placement
+ * @param forward request to send to the target
  */
 record CallerRequest(
         String id,
@@ -34,27 +34,27 @@
         Forward forward) {
 
     /**
-     * Holds what placement needs of a chat's prompt.
+     * Properties of a chat's prompt used for placement.
      *
-     * @param chat hash of the chat's id
-     * @param tokens estimated tokens of the whole prompt
-     * @param sharedPrefix hash of the first message, 0 if none
-     * @param sharedTokens estimated tokens of the first message
-     * @param returning whether the prompt holds earlier answers
+     * @param chat hash identifying the chat
+     * @param tokens estimated number of tokens in the prompt
+     * @param sharedPrefix hash of the system message, or 0 if there is none
+     * @param sharedTokens estimated number of tokens in the system message
+     * @param returning whether the prompt contains earlier assistant messages
      */
     record Prompt(long chat, int tokens, long sharedPrefix, int sharedTokens, boolean returning) {}
 
     /**
-     * Holds what goes to the target.
+     * The request to send to the target.
      *
-     * @param chat whether it is a chat, for an engine
-     * @param stream whether the answer comes as server-sent events
-     * @param stripUsage whether the usage event was asked for by the router alone
+     * @param chat whether this is a chat completion
+     * @param stream whether the response is a stream of server-sent events
+     * @param stripUsage whether to remove the usage event, which only the router requested
      * @param method HTTP method
-     * @param path path with query
-     * @param headers headers passed on
-     * @param body the body
-     * @param fingerprint identifies team and content
+     * @param path path and query
+     * @param headers forwarded headers
+     * @param body request body
+     * @param fingerprint hash of team, path and body, to detect a reused request id
      */
     record Forward(
             boolean chat,
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/CallerStream.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/CallerStream.java
@@ -11,25 +11,25 @@
 import java.util.Deque;
 
 /**
- * Passes an answer's bytes to a caller at the caller's own pace. What it holds is bounded by the
- * credit given to the sidecar. Used on the event loop.
+ * Streams a response body to a caller with backpressure. The buffered size is bounded by the credit
+ * granted to the sidecar. Not thread-safe: used on the event loop only.
  */
 final class CallerStream {
-    /** Is told how the caller takes the answer. */
+    /** Receives the events of a stream. */
     interface Listener {
-        /** Receives that the caller's connection took so many bytes. */
-        void onTaken(int bytes);
+        /** Called when bytes were handed to the connection. */
+        void onConsumed(int bytes);
 
-        /** Receives that the caller has gone. */
-        void onGone();
+        /** Called when the caller disconnected. */
+        void onDisconnected();
 
-        /** Receives that nothing more will be passed on, for whatever reason. */
+        /** Called once the stream has ended, failed or been closed. */
         void onFinished();
     }
 
     private final Listener mListener;
-    private final Deque<byte[]> mReady = new ArrayDeque<>();
-    private SettablePromise<ByteBuf> mWaiting;
+    private final Deque<byte[]> mBuffers = new ArrayDeque<>();
+    private SettablePromise<ByteBuf> mPendingRead;
     private boolean mEnded;
     private Exception mFailure;
     private boolean mClosed;
@@ -39,13 +39,13 @@
     }
 
     ChannelSupplier<ByteBuf> supplier() {
-        return ChannelSuppliers.ofAsyncSupplier(this::next, AsyncCloseable.of(e -> close()));
+        return ChannelSuppliers.ofAsyncSupplier(this::read, AsyncCloseable.of(e -> close()));
     }
 
     private void close() {
         if (!mClosed) {
-            mReady.clear();
-            mListener.onGone();
+            mBuffers.clear();
+            mListener.onDisconnected();
             finish();
         }
     }
@@ -55,9 +55,9 @@
         mListener.onFinished();
     }
 
-    private Promise<ByteBuf> next() {
-        if (!mReady.isEmpty()) {
-            return Promise.of(take());
+    private Promise<ByteBuf> read() {
+        if (!mBuffers.isEmpty()) {
+            return Promise.of(drain());
         }
         if (mFailure != null) {
             finish();
@@ -67,58 +67,58 @@
             finish();
             return Promise.of(null);
         }
-        mWaiting = new SettablePromise<>();
-        return mWaiting;
+        mPendingRead = new SettablePromise<>();
+        return mPendingRead;
     }
 
-    private ByteBuf take() {
+    private ByteBuf drain() {
         int size = 0;
-        for (byte[] b : mReady) {
+        for (byte[] b : mBuffers) {
             size += b.length;
         }
-        byte[] all = mReady.size() == 1 ? mReady.poll() : new byte[size];
-        int at = 0;
-        for (byte[] b = mReady.poll(); b != null; b = mReady.poll()) {
-            System.arraycopy(b, 0, all, at, b.length);
-            at += b.length;
+        byte[] all = mBuffers.size() == 1 ? mBuffers.poll() : new byte[size];
+        int position = 0;
+        for (byte[] b = mBuffers.poll(); b != null; b = mBuffers.poll()) {
+            System.arraycopy(b, 0, all, position, b.length);
+            position += b.length;
         }
-        mListener.onTaken(size);
+        mListener.onConsumed(size);
         return ByteBuf.wrapForReading(all);
     }
 
     void push(byte[] data) {
         if (!mClosed && data.length > 0) {
-            mReady.add(data);
-            wake();
+            mBuffers.add(data);
+            completePendingRead();
         }
     }
 
-    /** Ends the answer as whole. */
+    /** Ends the response normally. */
     void end() {
         mEnded = true;
-        wake();
+        completePendingRead();
     }
 
-    /** Breaks the connection off after what was pushed, so that nothing looks whole. */
+    /** Aborts the connection after the buffered data, so the response appears truncated. */
     void fail(Exception cause) {
         mFailure = cause;
-        wake();
+        completePendingRead();
     }
 
-    private void wake() {
-        if (mWaiting == null) {
+    private void completePendingRead() {
+        if (mPendingRead == null) {
             return;
         }
-        SettablePromise<ByteBuf> w = mWaiting;
-        mWaiting = null;
-        if (!mReady.isEmpty()) {
-            w.set(take());
+        SettablePromise<ByteBuf> read = mPendingRead;
+        mPendingRead = null;
+        if (!mBuffers.isEmpty()) {
+            read.set(drain());
         } else if (mFailure != null) {
             finish();
-            w.setException(mFailure);
+            read.setException(mFailure);
         } else {
             finish();
-            w.set(null);
+            read.set(null);
         }
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Makes sure that "not run" is true of an unrepeatable request as a whole, and not only of the
- * attempts of this router: an earlier one of the same id may have run elsewhere.
+ * Verifies against the claim store that an unrepeatable request has not run, since another router
+ * may have submitted the same request id. Immutable.
  */
 final class ClaimLookup {
     private final ClaimStore mStore;
@@ -19,18 +19,18 @@
         mStore = store;
     }
 
-    /** Returns the refusal as it stands, or that the request may have run. */
+    /** Returns the given refusal, or "may have run" if the store has an active claim. */
     CompletableFuture<Refused> confirmNotRun(CallerRequest request, Refused why) {
         return mStore.read(ClaimStore.key(request.team(), request.id()))
-                .handle((seen, e) -> e == null ? judge(seen, why) : why);
+                .handle((claim, e) -> e == null ? reconcile(claim, why) : why);
     }
 
-    private static Refused judge(Optional<ClaimStore.Seen> seen, Refused why) {
-        boolean ran = seen.isPresent() && seen.get().row().state() != ClaimRow.State.ABANDONED;
+    private static Refused reconcile(Optional<ClaimStore.Seen> claim, Refused why) {
+        boolean ran = claim.isPresent() && claim.get().row().state() != ClaimRow.State.ABANDONED;
         boolean otherRequest = why.reason() == RefusalReason.ID_REUSED;
         return ran && !otherRequest
                 ? Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE)
-                        .withDetail(seen.get().row().owner())
+                        .withDetail(claim.get().row().owner())
                 : why;
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
@@ -33,16 +33,17 @@
 import java.util.Optional;
 
 /**
- * Carries one request through its attempts to its one final answer. Used on the event loop.
+ * Processes one request: places it, runs its attempts and sends exactly one response. Not
+ * thread-safe: used on the event loop only.
  *
- * <p>Nothing of an answer goes to the caller before it must: a whole answer is gathered first, so
- * that until its end another attempt is still possible for a repeatable request.
+ * <p>A non-streaming response is buffered until it is complete or exceeds the buffer limit, so that
+ * a repeatable request can still be retried until then.
  */
 final class RequestFlow implements Attempt.Listener, CallerStream.Listener {
     private static final int MAX_ATTEMPTS = 10;
-    private static final int GATHER_BYTES = 1 << 20;
+    private static final int MAX_BUFFERED_BYTES = 1 << 20;
     private static final long DEADLINE_GRACE_MILLIS = 300;
-    private static final int MAX_NOTED = 5;
+    private static final int MAX_LOGGED_CANDIDATES = 5;
 
     private final RouterContext mContext;
     private final CallerRequest mRequest;
@@ -50,20 +51,20 @@
     private final long mArrivedMillis;
     private final SettablePromise<HttpResponse> mResponse = new SettablePromise<>();
     private final CallerStream mStream = new CallerStream(this);
-    private final ByteArrayOutputStream mGathered = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream mBuffered = new ByteArrayOutputStream();
     private PoolView mPool;
     private String mPoolName = "";
     private IntentSpec mIntent;
-    private PlacementRequest mPlacement;
+    private PlacementRequest mPlacementRequest;
     private Optional<ChatTicket> mTicket = Optional.empty();
-    private SpillOrder mOrder;
+    private SpillOrder mSpillOrder;
     private long mDeadlineMillis;
     private Attempt mAttempt;
     private Head mHead;
     private int mAttempts;
-    private boolean mShown;
-    private boolean mOver;
-    private boolean mLastRound;
+    private boolean mStreaming;
+    private boolean mFinished;
+    private boolean mLeastLoadedTried;
     private Refused mLastRefused = Refused.notRun(RefusalReason.NO_TARGET, 1_000);
 
     RequestFlow(RouterContext context, CallerRequest request, TcpSocket socket) {
@@ -81,8 +82,10 @@
         mContext.budget().onRequest();
         if (place()) {
             mContext.attempts()
-                    .later(mDeadlineMillis - mArrivedMillis + DEADLINE_GRACE_MILLIS, this::onLate);
-            next();
+                    .schedule(
+                            mDeadlineMillis - mArrivedMillis + DEADLINE_GRACE_MILLIS,
+                            this::onDeadline);
+            startNextAttempt();
         }
         return mResponse;
     }
@@ -102,7 +105,7 @@
         mDeadlineMillis =
                 mArrivedMillis
                         + mRequest.deadlineMillis().orElse(mPool.spec().deadline().toMillis());
-        var wait = mContext.quotas().refuse(team, mArrivedMillis);
+        var wait = mContext.quotas().tryAcquire(team, mArrivedMillis);
         if (wait.isPresent()) {
             long after = RetryAfter.spread(wait.getAsLong(), mContext.random());
             finish(Refused.notRun(RefusalReason.OVER_QUOTA, after));
@@ -115,7 +118,7 @@
     private void rank() {
         CallerRequest.Prompt p = mRequest.prompt();
         mTicket = ChatTicket.read(mRequest.ticket(), p.chat(), mContext.ticketKey());
-        mPlacement =
+        mPlacementRequest =
                 new PlacementRequest(
                         p.chat(),
                         p.tokens(),
@@ -126,12 +129,12 @@
         List<Candidate> ranked =
                 mPool.targets().isEmpty()
                         ? List.of()
-                        : mContext.placement().rank(mPlacement, mPool, mArrivedMillis);
-        note("intent " + mIntent.name() + " pool " + mPoolName, "");
-        for (int i = 0; i < Math.min(MAX_NOTED, ranked.size()); i++) {
-            note(describe(ranked.get(i)), ranked.get(i).target().name());
+                        : mContext.placement().rank(mPlacementRequest, mPool, mArrivedMillis);
+        recordDecision("intent " + mIntent.name() + " pool " + mPoolName, "");
+        for (int i = 0; i < Math.min(MAX_LOGGED_CANDIDATES, ranked.size()); i++) {
+            recordDecision(describe(ranked.get(i)), ranked.get(i).target().name());
         }
-        mOrder = SpillOrder.of(ranked);
+        mSpillOrder = SpillOrder.of(ranked);
     }
 
     private static String describe(Candidate c) {
@@ -147,36 +150,36 @@
 
     // ---------------------------------------------------------------- attempts
 
-    private void next() {
+    private void startNextAttempt() {
         if (mAttempts >= MAX_ATTEMPTS || now() >= mDeadlineMillis) {
-            finish(now() >= mDeadlineMillis ? late(mLastRefused) : mLastRefused);
+            finish(now() >= mDeadlineMillis ? deadlineExceeded(mLastRefused) : mLastRefused);
             return;
         }
-        Optional<Candidate> c = mOrder.next(mPool, now());
+        Optional<Candidate> c = mSpillOrder.next(mPool, now());
         if (c.isPresent()) {
             send(c.get(), mContext.digests().forTarget(mPool, c.get().target().name()));
             return;
         }
-        if (mLastRefused.reason() == RefusalReason.OVER_BOUND && !mLastRound) {
-            mLastRound = true;
+        if (mLastRefused.reason() == RefusalReason.OVER_BOUND && !mLeastLoadedTried) {
+            mLeastLoadedTried = true;
             sendToLeastLoaded();
             return;
         }
         finish(mLastRefused);
     }
 
-    private static Refused late(Refused last) {
+    private static Refused deadlineExceeded(Refused last) {
         return last.kind() == OutcomeKind.NOT_RUN
                 ? Refused.notRun(RefusalReason.DEADLINE, 0)
                 : Refused.mayHaveRun(RefusalReason.DEADLINE);
     }
 
-    /** Every target refused by what it knew of the others; the least loaded is told of them all. */
+    /** Submits to the least loaded usable target, telling it that all others refused. */
     private void sendToLeastLoaded() {
         TargetView best = null;
         for (TargetView t : mPool.targets()) {
             boolean usable = !t.isLeaving(now()) && t.health().share(now()) > 0;
-            if (usable && (best == null || relative(t) < relative(best))) {
+            if (usable && (best == null || relativeLoad(t) < relativeLoad(best))) {
                 best = t;
             }
         }
@@ -195,7 +198,7 @@
         send(c, List.of());
     }
 
-    private double relative(TargetView t) {
+    private double relativeLoad(TargetView t) {
         return (double) t.estimatedLoad(now()) / t.capacity();
     }
 
@@ -210,7 +213,7 @@
                                         + ":"
                                         + mContext.host()
                                         + ":"
-                                        + mContext.nextAttempt())
+                                        + mContext.nextAttemptId())
                         .setTeam(mRequest.team())
                         .setPool(mPoolName)
                         .setMethod(f.method())
@@ -225,7 +228,7 @@
                         .setFingerprint(f.fingerprint())
                         .addAllDigests(digests)
                         .setOthersLoad(othersLoad(c.target()))
-                        .setOthersRefused(mLastRound)
+                        .setOthersRefused(mLeastLoadedTried)
                         .build();
         mAttempt = new Attempt(mContext.attempts(), c, s, this);
         mAttempt.start();
@@ -239,39 +242,39 @@
         return (int) sum;
     }
 
-    private void onLate() {
-        if (!mOver && mHead == null && mAttempt != null) {
+    private void onDeadline() {
+        if (!mFinished && mHead == null && mAttempt != null) {
             mAttempt.cancel();
             finish(Refused.mayHaveRun(RefusalReason.DEADLINE));
         }
     }
 
-    // ---------------------------------------------------------------- from the attempt
+    // ---------------------------------------------------------------- attempt events
 
     @Override
     public void onHead(Attempt attempt, Head head) {
-        if (mOver) {
+        if (mFinished) {
             return;
         }
         mHead = head;
         mContext.counters().onFirstByte(now() - mArrivedMillis);
         attempt.candidate().target().health().onSuccess(now());
         if (mRequest.forward().stream() && head.getStatus() == 200) {
-            show();
+            startStreaming();
         }
     }
 
-    /** Starts the answer to the caller; from here on no other attempt is possible. */
-    private void show() {
-        mShown = true;
-        HttpResponse.Builder b = headed("streaming");
+    /** Starts the response to the caller; the request cannot be retried afterwards. */
+    private void startStreaming() {
+        mStreaming = true;
+        HttpResponse.Builder b = responseBuilder("streaming");
         b.withBodyStream(mStream.supplier());
-        mStream.push(mGathered.toByteArray());
-        mGathered.reset();
+        mStream.push(mBuffered.toByteArray());
+        mBuffered.reset();
         mResponse.set(b.build());
     }
 
-    private HttpResponse.Builder headed(String outcome) {
+    private HttpResponse.Builder responseBuilder(String outcome) {
         HttpResponse.Builder b = HttpResponse.ofCode(mHead.getStatus());
         for (Header h : mHead.getHeadersList()) {
             b.withHeader(HttpHeaders.of(h.getName()), h.getValue());
@@ -282,13 +285,17 @@
         b.withHeader(CallerHeaders.WHY, mAttempt.candidate().why().name().toLowerCase(Locale.ROOT));
         if (mRequest.forward().chat()) {
             ChatTicket t =
-                    new ChatTicket(mPlacement.chat(), target, mPlacement.promptTokens(), now());
+                    new ChatTicket(
+                            mPlacementRequest.chat(),
+                            target,
+                            mPlacementRequest.promptTokens(),
+                            now());
             b.withHeader(CallerHeaders.TICKET, t.sign(mContext.ticketKey()));
         }
-        return common(b);
+        return addCommonHeaders(b);
     }
 
-    private HttpResponse.Builder common(HttpResponse.Builder b) {
+    private HttpResponse.Builder addCommonHeaders(HttpResponse.Builder b) {
         b.withHeader(CallerHeaders.REQUEST_ID, mRequest.id());
         b.withHeader(CallerHeaders.ATTEMPTS, Integer.toString(mAttempts));
         return b;
@@ -296,42 +303,42 @@
 
     @Override
     public void onData(Attempt attempt, byte[] data) {
-        if (mOver) {
+        if (mFinished) {
             return;
         }
-        if (mShown) {
+        if (mStreaming) {
             mStream.push(data);
             return;
         }
-        mGathered.writeBytes(data);
-        attempt.onTaken(data.length);
-        if (mGathered.size() > GATHER_BYTES) {
-            show();
+        mBuffered.writeBytes(data);
+        attempt.onConsumed(data.length);
+        if (mBuffered.size() > MAX_BUFFERED_BYTES) {
+            startStreaming();
         }
     }
 
     @Override
-    public void onWhole(Attempt attempt, End end) {
-        learnReuse(attempt, end);
-        note("answered", attempt.candidate().target().name());
+    public void onComplete(Attempt attempt, End end) {
+        recordCacheReuse(attempt, end);
+        recordDecision("answered", attempt.candidate().target().name());
         mContext.counters().onOutcome(OutcomeKind.ANSWERED);
-        if (mOver) {
+        if (mFinished) {
             return;
         }
-        mOver = true;
-        if (mShown) {
+        mFinished = true;
+        if (mStreaming) {
             mStream.end();
             return;
         }
-        HttpResponse.Builder b = headed(Responses.outcome(OutcomeKind.ANSWERED));
+        HttpResponse.Builder b = responseBuilder(Responses.outcome(OutcomeKind.ANSWERED));
         if (mRequest.forward().chat()) {
             b.withHeader(CallerHeaders.REUSED, Integer.toString(end.getCachedTokens()));
         }
-        mResponse.set(b.withBody(mGathered.toByteArray()).build());
+        mResponse.set(b.withBody(mBuffered.toByteArray()).build());
         onFinished();
     }
 
-    private void learnReuse(Attempt attempt, End end) {
+    private void recordCacheReuse(Attempt attempt, End end) {
         if (!mRequest.forward().chat() || mHead.getReplayed()) {
             return;
         }
@@ -339,7 +346,7 @@
         if (end.getCacheLifetimeSeconds() > 0) {
             t.onCacheLifetime(end.getCacheLifetimeSeconds() * 1000L);
         }
-        mContext.prefixes().onServed(mPlacement.sharedPrefix(), t.name(), now());
+        mContext.prefixes().onServed(mPlacementRequest.sharedPrefix(), t.name(), now());
         mTicket.filter(k -> k.target().equals(t.name()))
                 .ifPresent(
                         k ->
@@ -350,25 +357,25 @@
     }
 
     @Override
-    public void onLost(Attempt attempt, Refused why) {
-        if (mOver) {
+    public void onFailed(Attempt attempt, Refused why) {
+        if (mFinished) {
             return;
         }
         TargetView t = attempt.candidate().target();
-        note("lost " + why.kind() + " " + why.reason() + " " + why.detail(), t.name());
+        recordDecision("lost " + why.kind() + " " + why.reason() + " " + why.detail(), t.name());
         mContext.counters().onRefused(why.reason());
         if (why.reason().isFailure()) {
             t.health().onFailure(now());
-            mOrder.onFailure(t);
+            mSpillOrder.onFailure(t);
         }
         mLastRefused = why;
         mHead = null;
-        mGathered.reset();
+        mBuffered.reset();
         if (!why.owner().isEmpty()) {
-            askOwner(why);
+            queryClaimOwner(why);
             return;
         }
-        if (!RetryPolicy.maySafelyRetry(why, mRequest.unrepeatable(), mShown)) {
+        if (!RetryPolicy.maySafelyRetry(why, mRequest.unrepeatable(), mStreaming)) {
             finish(why);
             return;
         }
@@ -381,58 +388,58 @@
         } else {
             mContext.counters().onSpill();
         }
-        next();
+        startNextAttempt();
     }
 
-    /** Only the target that holds the claim can tell what became of the request. */
-    private void askOwner(Refused why) {
+    /** Forwards the request to the target holding its claim, which alone knows its outcome. */
+    private void queryClaimOwner(Refused why) {
         Optional<TargetView> owner = mContext.fleet().view().target(why.owner());
         if (owner.isEmpty() || mAttempts >= MAX_ATTEMPTS) {
             finish(Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE).withDetail(why.owner()));
             return;
         }
-        // If the owner cannot be asked either, the request may have run there.
+        // If the owner is unreachable, the request may still have run there.
         mLastRefused = Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE);
-        mOrder = SpillOrder.of(List.of());
+        mSpillOrder = SpillOrder.of(List.of());
         Candidate c = new Candidate(owner.get(), 0, 0, 0, 0, Candidate.Why.UNSCORED);
         send(c, List.of());
     }
 
-    // ---------------------------------------------------------------- to the caller
+    // ---------------------------------------------------------------- response
 
-    /** Gives the final word at once. */
+    /** Ends the request with an error response. */
     private void finish(Refused why) {
-        if (mOver) {
+        if (mFinished) {
             return;
         }
-        mOver = true;
-        boolean doubtful =
+        mFinished = true;
+        boolean uncertain =
                 mRequest.unrepeatable() && why.kind() == OutcomeKind.NOT_RUN && mAttempts > 0;
-        if (doubtful) {
-            mContext.claims().confirmNotRun(mRequest, why).thenAccept(this::answer);
+        if (uncertain) {
+            mContext.claims().confirmNotRun(mRequest, why).thenAccept(this::respond);
         } else {
-            answer(why);
+            respond(why);
         }
     }
 
-    private void answer(Refused why) {
-        note("final " + why.kind() + " " + why.reason(), "");
+    private void respond(Refused why) {
+        recordDecision("final " + why.kind() + " " + why.reason(), "");
         mContext.counters().onOutcome(why.kind());
-        if (!mShown) {
-            mResponse.set(common(Responses.refused(why)).build());
+        if (!mStreaming) {
+            mResponse.set(addCommonHeaders(Responses.refused(why)).build());
             onFinished();
             return;
         }
         if (mRequest.forward().stream()) {
             mStream.push(Responses.errorEvent(why));
         }
-        mStream.fail(new IOException("answer broken off: " + why.reason()));
+        mStream.fail(new IOException("response aborted: " + why.reason()));
     }
 
     @Override
-    public void onTaken(int bytes) {
+    public void onConsumed(int bytes) {
         if (mAttempt != null) {
-            mAttempt.onTaken(bytes);
+            mAttempt.onConsumed(bytes);
         }
     }
 
@@ -440,26 +447,26 @@
         return mSocket;
     }
 
-    /** Ends the request of a caller whose connection has gone while nothing was written to it. */
-    void onHungUp() {
-        IOException gone = new IOException("the caller has gone");
-        if (mShown) {
-            mSocket.closeEx(gone);
+    /** Aborts the request of a caller that disconnected while waiting for the response. */
+    void abortDisconnected() {
+        IOException cause = new IOException("caller disconnected");
+        if (mStreaming) {
+            mSocket.closeEx(cause);
             return;
         }
-        onGone();
+        onDisconnected();
         onFinished();
-        mSocket.closeEx(gone);
-        mResponse.trySetException(gone);
+        mSocket.closeEx(cause);
+        mResponse.trySetException(cause);
     }
 
     @Override
-    public void onGone() {
-        if (mOver) {
+    public void onDisconnected() {
+        if (mFinished) {
             return;
         }
-        mContext.counters().onCallerGone();
-        mOver = true;
+        mContext.counters().onCallerDisconnected();
+        mFinished = true;
         if (mAttempt != null) {
             mAttempt.cancel();
         }
@@ -474,7 +481,7 @@
         return mContext.clock().nowMillis();
     }
 
-    private void note(String what, String where) {
+    private void recordDecision(String what, String where) {
         mContext.decisions().note(mRequest.id(), what, where);
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestReader.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestReader.java
@@ -24,7 +24,7 @@
 import java.util.UUID;
 import java.util.regex.Pattern;
 
-/** Reads callers' HTTP requests. Stateless. */
+/** Parses and validates callers' HTTP requests. Stateless. */
 final class RequestReader {
     static final String CHAT_PATH = "/v1/chat/completions";
     static final String SERVICES_PATH = "/services/";
@@ -39,23 +39,24 @@
 
     private RequestReader() {}
 
-    /** Reads a chat-completions request. */
+    /** Parses a chat completion request. */
     static CallerRequest chat(HttpRequest http, byte[] body) throws BadRequestException {
         ObjectNode json = parse(body);
         JsonNode messages = json.path("messages");
         if (!messages.isArray() || messages.isEmpty()) {
-            throw bad("messages = " + shorten(messages), "an array of at least one message");
+            throw badRequest(
+                    "messages = " + truncate(messages), "an array of at least one message");
         }
         String model = json.path("model").asText();
         if (model.isEmpty()) {
-            throw bad("model is missing", "the name of a model");
+            throw badRequest("model is missing", "the name of a model");
         }
-        Common c = new Common(http);
-        Labels labels = c.labels().with("kind", "chat").with("model", safe(model));
+        CommonHeaders c = new CommonHeaders(http);
+        Labels labels = c.labels().with("kind", "chat").with("model", sanitizeLabel(model));
         boolean stream = json.path("stream").asBoolean();
-        boolean strip = stream && askForUsage(json);
+        boolean strip = stream && requestUsage(json);
         if (c.priority().isPresent()) {
-            // Engines serve smaller numbers first.
+            // Engines treat lower values as higher priority.
             json.put("priority", MAX_PRIORITY - c.priority().getAsInt());
         }
         byte[] forwarded = write(json);
@@ -74,16 +75,16 @@
                         fingerprint(c.team(), CHAT_PATH, body)));
     }
 
-    /** Reads a call to a plain service. */
+    /** Parses a request to a service that is not an engine. */
     static CallerRequest service(HttpRequest http, byte[] body) throws BadRequestException {
         String path = http.getPathAndQuery().substring(SERVICES_PATH.length());
         int slash = path.indexOf('/');
         String service = slash < 0 ? path : path.substring(0, slash);
         String rest = slash < 0 ? "/" : path.substring(slash);
         if (!ID.matcher(service).matches()) {
-            throw bad("service '" + shorten(service) + "'", SERVICES_PATH + "NAME/...");
+            throw badRequest("service '" + truncate(service) + "'", SERVICES_PATH + "NAME/...");
         }
-        Common c = new Common(http);
+        CommonHeaders c = new CommonHeaders(http);
         Labels labels = c.labels().with("kind", "service").with("service", service);
         String method = http.getMethod().name();
         String key = c.chatId().isEmpty() ? c.id() : c.chatId();
@@ -112,19 +113,19 @@
             throw new BadRequestException(
                     BAD_REQUEST, "body is not JSON; allowed: a JSON object with model, messages");
         }
-        throw bad("body", "a JSON object with model and messages");
+        throw badRequest("body", "a JSON object with model and messages");
     }
 
     private static byte[] write(ObjectNode json) throws BadRequestException {
         try {
             return JSON.writeValueAsBytes(json);
         } catch (IOException e) {
-            throw new BadRequestException(BAD_REQUEST, "body cannot be passed on");
+            throw new BadRequestException(BAD_REQUEST, "body cannot be serialized as JSON");
         }
     }
 
-    /** Makes the engine report what it reused; returns whether the caller did not ask for that. */
-    private static boolean askForUsage(ObjectNode json) {
+    /** Requests token usage from the engine; returns false if the caller already did. */
+    private static boolean requestUsage(ObjectNode json) {
         if (json.path("stream_options").path("include_usage").asBoolean()) {
             return false;
         }
@@ -144,7 +145,7 @@
         String firstText = first.path("content").asText();
         String chat = chatId;
         if (chat.isEmpty()) {
-            // Without an id, what stays the same over all turns tells chats apart.
+            // Without an id, the messages that stay the same in all turns identify the chat.
             JsonNode second = messages.path(shared ? 1 : 0);
             chat = firstText + "\n" + second.path("content").asText();
         }
@@ -166,9 +167,9 @@
                 .forEach(
                         e -> {
                             String name = e.getKey().toString();
-                            boolean own =
+                            boolean internal =
                                     name.toLowerCase(Locale.ROOT).startsWith(CallerHeaders.PREFIX);
-                            if (!own && !HttpTargetClient.isHopHeader(name)) {
+                            if (!internal && !HttpTargetClient.isHopHeader(name)) {
                                 out.add(
                                         Header.newBuilder()
                                                 .setName(name)
@@ -179,21 +180,21 @@
         return out;
     }
 
-    private static String safe(String label) {
+    private static String sanitizeLabel(String label) {
         return label.replaceAll("[^A-Za-z0-9._:/-]", "_");
     }
 
-    private static String shorten(Object value) {
+    private static String truncate(Object value) {
         String s = String.valueOf(value);
         return s.length() > 40 ? s.substring(0, 40) + "..." : s;
     }
 
-    private static BadRequestException bad(String found, String allowed) {
+    private static BadRequestException badRequest(String found, String allowed) {
         return new BadRequestException(BAD_REQUEST, found + "; allowed: " + allowed);
     }
 
-    /** Reads the headers that all requests have in common. */
-    private static final class Common {
+    /** Headers common to all requests. */
+    private static final class CommonHeaders {
         private final HttpRequest mHttp;
         private final String mId;
         private final boolean mIdGiven;
@@ -202,28 +203,32 @@
         private final OptionalLong mDeadline;
         private final boolean mUnrepeatable;
 
-        Common(HttpRequest http) throws BadRequestException {
+        CommonHeaders(HttpRequest http) throws BadRequestException {
             mHttp = http;
             String id = header(CallerHeaders.REQUEST_ID);
             mIdGiven = !id.isEmpty();
-            mId = mIdGiven ? checked(CallerHeaders.REQUEST_ID, id) : UUID.randomUUID().toString();
+            mId = mIdGiven ? requireId(CallerHeaders.REQUEST_ID, id) : UUID.randomUUID().toString();
             String team = header(CallerHeaders.TEAM);
-            mTeam = team.isEmpty() ? DEFAULT_TEAM : checked(CallerHeaders.TEAM, team);
+            mTeam = team.isEmpty() ? DEFAULT_TEAM : requireId(CallerHeaders.TEAM, team);
             OptionalLong p = number(CallerHeaders.PRIORITY, MAX_PRIORITY);
             mPriority = p.isPresent() ? OptionalInt.of((int) p.getAsLong()) : OptionalInt.empty();
             mDeadline = number(CallerHeaders.DEADLINE_MS, MAX_DEADLINE_MILLIS);
-            mUnrepeatable = flag();
+            mUnrepeatable = readUnrepeatable();
             checkAge();
             if (mUnrepeatable && !mIdGiven) {
-                throw bad("Forkseam-Request-Id is missing", "an unrepeatable request needs one");
+                throw badRequest(
+                        "Forkseam-Request-Id is missing", "an unrepeatable request needs one");
             }
         }
 
-        /** A claim is swept some time after this, so an older repeat could run again. */
+        /**
+         * Rejects old unrepeatable requests: their claim may be deleted, so they could run twice.
+         */
         private void checkAge() throws BadRequestException {
             String v = header(CallerHeaders.ISSUED_AT);
             if (!v.matches("[0-9]{0,15}")) {
-                throw bad("Forkseam-Issued-At-Ms = " + shorten(v), "milliseconds since 1970");
+                throw badRequest(
+                        "Forkseam-Issued-At-Ms = " + truncate(v), "milliseconds since 1970");
             }
             long age = v.isEmpty() ? 0 : System.currentTimeMillis() - Long.parseLong(v);
             if (mUnrepeatable && age > ClaimRow.RETENTION_MILLIS) {
@@ -276,9 +281,9 @@
             return v == null ? "" : v.trim();
         }
 
-        private static String checked(HttpHeader name, String value) throws BadRequestException {
+        private static String requireId(HttpHeader name, String value) throws BadRequestException {
             if (!ID.matcher(value).matches()) {
-                throw bad(name + " = " + shorten(value), "1 to 128 of A-Z a-z 0-9 . _ : -");
+                throw badRequest(name + " = " + truncate(value), "1 to 128 of A-Z a-z 0-9 . _ : -");
             }
             return value;
         }
@@ -289,18 +294,18 @@
                 return OptionalLong.empty();
             }
             if (!v.matches("[0-9]{1,9}") || Long.parseLong(v) > max) {
-                throw bad(name + " = " + shorten(v), "a whole number from 0 to " + max);
+                throw badRequest(name + " = " + truncate(v), "a whole number from 0 to " + max);
             }
             return OptionalLong.of(Long.parseLong(v));
         }
 
-        private boolean flag() throws BadRequestException {
+        private boolean readUnrepeatable() throws BadRequestException {
             String v = header(CallerHeaders.UNREPEATABLE);
             if (v.isEmpty() || v.equals("false")) {
                 return false;
             }
             if (!v.equals("true")) {
-                throw bad("Forkseam-Unrepeatable = " + shorten(v), "true or false");
+                throw badRequest("Forkseam-Unrepeatable = " + truncate(v), "true or false");
             }
             return true;
         }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Responses.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Responses.java
@@ -14,7 +14,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Writes the answers that a router gives of itself. Stateless. */
+/** Builds responses that the router itself generates. Stateless. */
 final class Responses {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -22,7 +22,7 @@
 
     private Responses() {}
 
-    /** Writes an error in the shape that model-serving clients know. */
+    /** Builds an error response in the format of the OpenAI API. */
     static HttpResponse.Builder error(int status, String code, String message) {
         return HttpResponse.ofCode(status).withJson(errorJson(code, message));
     }
@@ -37,7 +37,7 @@
         return o.toString();
     }
 
-    /** Lists the models that targets serve, in the shape that model-serving clients know. */
+    /** Lists the models served by targets, in the format of the OpenAI API. */
     static HttpResponse.Builder models(FleetView fleet) {
         ObjectNode o = JSON.createObjectNode().put("object", "list");
         ArrayNode data = o.putArray("data");
@@ -49,11 +49,11 @@
         return HttpResponse.ok200().withJson(o.toString());
     }
 
-    /** Writes the final word on a request that got no answer. */
+    /** Builds the response to a request that was refused or failed. */
     static HttpResponse.Builder refused(Refused r) {
         int status = r.reason().status();
         if (r.kind() != OutcomeKind.NOT_RUN && status == SERVICE_UNAVAILABLE) {
-            status = BAD_GATEWAY; // 503 would say that nothing was done
+            status = BAD_GATEWAY; // 503 would imply that the request has not run
         }
         HttpResponse.Builder b = error(status, code(r), message(r));
         b.withHeader(CallerHeaders.OUTCOME, outcome(r.kind()));
@@ -78,7 +78,7 @@
         return r.detail().isEmpty() ? text : text + ": " + r.detail();
     }
 
-    /** Writes an event that tells a streaming caller that its answer broke off. */
+    /** Builds the server-sent event that reports an aborted stream. */
     static byte[] errorEvent(Refused r) {
         String json = errorJson(code(r), message(r));
         return ("event: error\ndata: " + json + "\n\n").getBytes(StandardCharsets.UTF_8);
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
@@ -38,13 +38,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Takes callers' requests in over HTTP and carries them to targets. All state is on the event loop,
- * and none of it needs to last.
+ * Accepts callers' HTTP requests and forwards them to targets. Keeps no persistent state. Not
+ * thread-safe: state is confined to the event loop.
  *
  * @since 0.1
  */
 public final class Router implements Service {
-    /** Name of the service. */
+    /** Service name. */
     public static final String NAME = "router";
 
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
@@ -52,44 +52,44 @@
     private static final long TICK_MILLIS = 250;
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int NOT_FOUND = 404;
-    private static final int NOT_ALLOWED = 405;
-    private static final int TOO_LARGE = 413;
+    private static final int METHOD_NOT_ALLOWED = 405;
+    private static final int PAYLOAD_TOO_LARGE = 413;
 
     private final Eventloop mLoop;
     private final Config mConfig;
     private final Fleet mFleet;
     private final Links mLinks;
     private final FleetSync mSync;
-    private final Attempts mAttempts;
+    private final AttemptRegistry mAttempts;
     private final RouterContext mContext;
     private final RouterCounters mCounters;
-    private final CallerSockets mSockets = new CallerSockets();
+    private final CallerDisconnectDetector mDisconnects = new CallerDisconnectDetector();
     private final Ticker mTicker;
     private HttpServer mServer;
-    private boolean mLeaving;
+    private boolean mDraining;
     private CompletableFuture<Void> mDrained;
 
     /**
-     * Holds what a router is told about itself.
+     * Configuration of a router.
      *
-     * @param host name of its host
-     * @param incarnation of this process
-     * @param listen where callers connect
-     * @param maxBodyBytes greatest request body
-     * @param requestTime for a caller to send its request whole
-     * @param ticketKey signs chat tickets
-     * @param placement name of the placement
+     * @param host name of the host it runs on
+     * @param incarnation number of this process incarnation
+     * @param listen address to listen on for callers
+     * @param maxBodyBytes maximum size of a request body
+     * @param requestTimeout read and write timeout of caller connections
+     * @param ticketKey secret key for signing chat tickets
+     * @param placement name of the placement policy
      */
     public record Config(
             String host,
             long incarnation,
             InetSocketAddress listen,
             int maxBodyBytes,
-            Duration requestTime,
+            Duration requestTimeout,
             String ticketKey,
             String placement) {}
 
-    /** Holds the services a router works with. */
+    /** Services that a router depends on. */
     public record Parts(
             Fleet fleet, FleetSync sync, Links links, ClaimStore claims, MeterRegistry registry) {}
 
@@ -100,7 +100,7 @@
         mFleet = parts.fleet();
         mLinks = parts.links();
         mSync = parts.sync();
-        mAttempts = new Attempts(loop, clock, mFleet, mSync, mLinks);
+        mAttempts = new AttemptRegistry(loop, clock, mFleet, mSync, mLinks);
         mCounters = new RouterCounters(parts.registry());
         PrefixDirectory prefixes = PrefixDirectory.of(PrefixDirectory.DEFAULT_SIZE);
         mContext =
@@ -109,14 +109,14 @@
                                 config.host(),
                                 config.incarnation(),
                                 config.ticketKey().getBytes(StandardCharsets.UTF_8)),
-                        new RouterContext.Chance(clock, random),
+                        new RouterContext.Environment(clock, random),
                         mFleet,
                         mAttempts,
-                        new RouterContext.Placing(
+                        new RouterContext.PlacementState(
                                 placement(config.placement(), prefixes, random), prefixes),
-                        new RouterContext.Guards(
+                        new RouterContext.RequestChecks(
                                 new ClaimLookup(parts.claims()),
-                                new QuotaGate(mFleet, mSync, mLinks)),
+                                new QuotaLimiter(mFleet, mSync, mLinks)),
                         mCounters);
         mTicker = Ticker.of(loop, () -> TICK_MILLIS, this::tick);
     }
@@ -135,7 +135,7 @@
             case "round-robin" -> Baselines.roundRobin();
             case "two-choices" -> Baselines.twoChoices(random);
             case "consistent-hash" -> Baselines.consistentHash();
-            default -> throw new IllegalArgumentException("placement " + name);
+            default -> throw new IllegalArgumentException("unknown placement: " + name);
         };
     }
 
@@ -163,8 +163,8 @@
                             HttpServer.builder(mLoop, this::serve)
                                     .withListenAddress(mConfig.listen())
                                     .withMaxBodySize(mConfig.maxBodyBytes())
-                                    .withReadWriteTimeout(mConfig.requestTime())
-                                    .withSocketInspector(mSockets)
+                                    .withReadWriteTimeout(mConfig.requestTimeout())
+                                    .withSocketInspector(mDisconnects)
                                     .withHttpErrorFormatter(this::formatError)
                                     .build();
                     listen();
@@ -176,13 +176,13 @@
         LOG.info("event=callers-listen address={}", address());
     }
 
-    /** Fails the readiness check, then completes when every request in flight has ended. */
+    /** Fails the readiness check and completes once all in-flight requests have ended. */
     @Override
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> drained = new CompletableFuture<>();
         mLoop.execute(
                 () -> {
-                    mLeaving = true;
+                    mDraining = true;
                     mDrained = drained;
                     LOG.info("event=router-leaving in_flight={}", mContext.flows().size());
                     checkDrained();
@@ -204,11 +204,11 @@
     }
 
     private void tick() {
-        mAttempts.cutSilent();
+        mAttempts.closeSilentLinks();
         mContext.quotas().tick(mContext.clock().nowMillis());
         List.copyOf(mContext.flows()).stream()
-                .filter(f -> mSockets.isGone(f.socket()))
-                .forEach(RequestFlow::onHungUp);
+                .filter(f -> mDisconnects.isDisconnected(f.socket()))
+                .forEach(RequestFlow::abortDisconnected);
         checkDrained();
     }
 
@@ -216,8 +216,8 @@
     public Object dump() {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("in_flight", mContext.flows().size());
-        m.put("attempts_open", mAttempts.open());
-        m.put("leaving", mLeaving);
+        m.put("attempts_open", mAttempts.openCount());
+        m.put("leaving", mDraining);
         m.put("requests", mCounters.requests());
         m.put("retry_budget", mContext.budget().tokens());
         m.put("decisions", mContext.decisions().newest(50));
@@ -226,17 +226,17 @@
 
     // ---------------------------------------------------------------- public API
 
-    /** Returns the address on which callers are served. */
+    /** Returns the address bound for callers. */
     public InetSocketAddress address() {
         return mServer.getBoundAddresses().get(0);
     }
 
-    /** Returns whether the balancer should send callers here. */
+    /** Returns whether the load balancer should send traffic to this router. */
     public boolean isReady() {
-        return !mLeaving && mFleet.config().version() > 0 && !mFleet.view().targets().isEmpty();
+        return !mDraining && mFleet.config().version() > 0 && !mFleet.view().targets().isEmpty();
     }
 
-    /** Returns the decisions on requests, for explanations. */
+    /** Returns the log of routing decisions. */
     public DecisionLog decisions() {
         return mContext.decisions();
     }
@@ -249,7 +249,7 @@
             return HttpResponse.ok200().withPlainText("ok\n").toPromise();
         }
         if (path.equals("/readyz")) {
-            return ready().toPromise();
+            return readiness().toPromise();
         }
         if (path.equals(MODELS_PATH)) {
             return Responses.models(mFleet.view()).toPromise();
@@ -261,14 +261,14 @@
             return reject(NOT_FOUND, "not_found", "path " + path + "; allowed: " + allowed);
         }
         if (chat && http.getMethod() != HttpMethod.POST) {
-            return reject(NOT_ALLOWED, "method", http.getMethod() + "; allowed: POST");
+            return reject(METHOD_NOT_ALLOWED, "method", http.getMethod() + "; allowed: POST");
         }
-        TcpSocket socket = mSockets.of(http);
+        TcpSocket socket = mDisconnects.socketOf(http);
         return http.loadBody(mConfig.maxBodyBytes())
-                .then(body -> accept(http, chat, body.getArray(), socket), e -> tooLarge());
+                .then(body -> accept(http, chat, body.getArray(), socket), e -> rejectTooLarge());
     }
 
-    private HttpResponse.Builder ready() {
+    private HttpResponse.Builder readiness() {
         return isReady()
                 ? HttpResponse.ok200().withPlainText("ready\n")
                 : HttpResponse.ofCode(SERVICE_UNAVAILABLE).withPlainText("not ready\n");
@@ -285,9 +285,9 @@
         }
     }
 
-    private Promise<HttpResponse> tooLarge() {
-        String message = "body over " + mConfig.maxBodyBytes() + " bytes, or cut short";
-        return reject(TOO_LARGE, "too_large", message);
+    private Promise<HttpResponse> rejectTooLarge() {
+        String message = "body exceeds " + mConfig.maxBodyBytes() + " bytes or was truncated";
+        return reject(PAYLOAD_TOO_LARGE, "too_large", message);
     }
 
     private Promise<HttpResponse> reject(int status, String code, String message) {
@@ -297,12 +297,12 @@
                 .toPromise();
     }
 
-    /** Answers what the HTTP library found malformed; no stack trace reaches a caller. */
+    /** Maps exceptions of the HTTP server to responses without exposing stack traces. */
     private Promise<HttpResponse> formatError(Exception e) {
         mCounters.onMalformed();
         Refused r = Refused.failed(RefusalReason.BROKEN_ANSWER, "internal error");
         if (e instanceof IOException) {
-            return Responses.refused(r).toPromise(); // the caller has gone; nobody reads this
+            return Responses.refused(r).toPromise(); // the connection is already closed
         }
         if (e instanceof HttpException) {
             return Responses.error(400, "bad_request", "malformed HTTP request").toPromise();
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RouterContext.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RouterContext.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-/** Holds what all requests of a router share. Used on the event loop. */
+/** State shared by all requests of a router. Not thread-safe: used on the event loop only. */
 final class RouterContext {
     private final String mHost;
     private final byte[] mTicketKey;
     private final Clock mClock;
     private final RandomGenerator mRandom;
     private final Fleet mFleet;
-    private final Attempts mAttempts;
+    private final AttemptRegistry mAttempts;
     private final Placement mPlacement;
     private final PrefixDirectory mPrefixes;
     private final DigestCarrier mDigests;
@@ -28,41 +28,41 @@
     private final RetryBudget mBudget =
             RetryBudget.of(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_RESERVE);
     private final DecisionLog mDecisions = DecisionLog.of(DecisionLog.DEFAULT_SIZE);
-    private final QuotaGate mQuotas;
-    private long mNextAttempt;
+    private final QuotaLimiter mQuotas;
+    private long mNextAttemptId;
     private final Set<RequestFlow> mFlows = new LinkedHashSet<>();
 
-    /** Names the router: its host, and when this process started. */
+    /** Identity of the router process and its ticket-signing key. */
     record Identity(String host, long incarnation, byte[] ticketKey) {}
 
-    /** Holds the clock and the random numbers. */
-    record Chance(Clock clock, RandomGenerator random) {}
+    /** Sources of time and randomness. */
+    record Environment(Clock clock, RandomGenerator random) {}
 
-    /** Holds what limits and settles requests. */
-    record Guards(ClaimLookup claims, QuotaGate quotas) {}
+    /** Claim lookup and quota enforcement. */
+    record RequestChecks(ClaimLookup claims, QuotaLimiter quotas) {}
 
-    /** Holds how requests are placed. */
-    record Placing(Placement placement, PrefixDirectory prefixes) {}
+    /** Placement policy and its prefix directory. */
+    record PlacementState(Placement placement, PrefixDirectory prefixes) {}
 
     RouterContext(
             Identity identity,
-            Chance chance,
+            Environment environment,
             Fleet fleet,
-            Attempts attempts,
-            Placing placing,
-            Guards guards,
+            AttemptRegistry attempts,
+            PlacementState placement,
+            RequestChecks checks,
             RouterCounters counters) {
         mHost = identity.host() + "." + Long.toString(identity.incarnation(), Character.MAX_RADIX);
         mTicketKey = identity.ticketKey();
-        mClock = chance.clock();
-        mRandom = chance.random();
+        mClock = environment.clock();
+        mRandom = environment.random();
         mFleet = fleet;
         mAttempts = attempts;
-        mPlacement = placing.placement();
-        mPrefixes = placing.prefixes();
+        mPlacement = placement.placement();
+        mPrefixes = placement.prefixes();
         mDigests = DigestCarrier.of(fleet, mClock, mRandom);
-        mClaims = guards.claims();
-        mQuotas = guards.quotas();
+        mClaims = checks.claims();
+        mQuotas = checks.quotas();
         mCounters = counters;
     }
 
@@ -86,7 +86,7 @@
         return mFleet;
     }
 
-    Attempts attempts() {
+    AttemptRegistry attempts() {
         return mAttempts;
     }
 
@@ -118,7 +118,7 @@
         return mDecisions;
     }
 
-    QuotaGate quotas() {
+    QuotaLimiter quotas() {
         return mQuotas;
     }
 
@@ -130,12 +130,12 @@
         mFlows.remove(flow);
     }
 
-    /** Returns requests whose caller has not got all of its answer yet. */
+    /** Returns the requests whose response has not been fully delivered. */
     Set<RequestFlow> flows() {
         return mFlows;
     }
 
-    long nextAttempt() {
-        return mNextAttempt++;
+    long nextAttemptId() {
+        return mNextAttemptId++;
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RouterCounters.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RouterCounters.java
@@ -9,14 +9,14 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Counts what a router does. Label values are bounded: reasons and kinds only. */
+/** Metrics of a router. Tag values are limited to enum constants. Thread-safe. */
 final class RouterCounters {
     private final MeterRegistry mRegistry;
     private final Counter mRequests;
     private final Counter mRetries;
     private final Counter mSpills;
     private final Counter mMalformed;
-    private final Counter mGone;
+    private final Counter mCallerDisconnects;
     private final Timer mFirstByte;
 
     RouterCounters(MeterRegistry registry) {
@@ -25,7 +25,7 @@
         mRetries = registry.counter("forkseam.router.retries");
         mSpills = registry.counter("forkseam.router.spills");
         mMalformed = registry.counter("forkseam.router.malformed.requests");
-        mGone = registry.counter("forkseam.router.callers.gone");
+        mCallerDisconnects = registry.counter("forkseam.router.callers.gone");
         mFirstByte =
                 Timer.builder("forkseam.router.first.byte")
                         .publishPercentiles(0.5, 0.95, 0.99)
@@ -48,8 +48,8 @@
         mMalformed.increment();
     }
 
-    void onCallerGone() {
-        mGone.increment();
+    void onCallerDisconnected() {
+        mCallerDisconnects.increment();
     }
 
     void onFirstByte(long millis) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/package-info.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/package-info.java
@@ -1,2 +1,2 @@
-/** The entry: callers' requests, attempts at targets, answers. */
+/** Accepts callers' requests, forwards them to targets and returns the responses. */
 package org.forkseam.daemon.router;
--- a/forkseam-daemon/src/test/java/org/forkseam/daemon/router/RequestReaderTest.java
+++ b/forkseam-daemon/src/test/java/org/forkseam/daemon/router/RequestReaderTest.java
@@ -16,11 +16,11 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Attacks what the router passes on of a caller's headers. */
+/** Guards against callers forging Forkseam headers towards targets. */
 class RequestReaderTest {
     private static final String URL = "http://127.0.0.1/services/desk/x";
 
-    /** Names of the product's own headers, also of some that it does not know, in mixed case. */
+    /** Known and unknown Forkseam header names in mixed case. */
     @Provide
     Arbitrary<List<String>> ownNames() {
         return Arbitraries.of("forkseam-", "Forkseam-", "FORKSEAM-", "fOrKsEaM-")
@@ -34,15 +34,15 @@
     }
 
     @Property(seed = "4713")
-    void noOwnHeaderOfTheProductIsPassedOn(@ForAll("ownNames") List<String> names)
+    void forkseamHeadersAreNotForwarded(@ForAll("ownNames") List<String> names)
             throws BadRequestException {
         HttpRequest.Builder b = HttpRequest.get(URL).withHeader(HttpHeaders.of("X-Own"), "kept");
         for (String n : names) {
             b.withHeader(HttpHeaders.of(n), "forged");
         }
-        List<Header> passed = RequestReader.service(b.build(), new byte[0]).forward().headers();
-        assertThat(passed.stream().map(Header::getValue).toList()).doesNotContain("forged");
-        assertThat(passed.stream().map(h -> h.getName().toLowerCase(Locale.ROOT)).toList())
+        List<Header> forwarded = RequestReader.service(b.build(), new byte[0]).forward().headers();
+        assertThat(forwarded.stream().map(Header::getValue).toList()).doesNotContain("forged");
+        assertThat(forwarded.stream().map(h -> h.getName().toLowerCase(Locale.ROOT)).toList())
                 .contains("x-own");
     }
 }
