--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
@@ -15,10 +15,10 @@
 import org.forkseam.core.outcome.RetryAfter;
 import org.forkseam.core.outcome.RetryPolicy;
 import org.forkseam.core.route.Candidate;
+import org.forkseam.core.route.CandidateQueue;
 import org.forkseam.core.route.ChatTicket;
 import org.forkseam.core.route.PlacementRequest;
 import org.forkseam.core.route.PoolView;
-import org.forkseam.core.route.SpillOrder;
 import org.forkseam.core.route.TargetView;
 import org.forkseam.wire.proto.End;
 import org.forkseam.wire.proto.Head;
@@ -57,7 +57,7 @@
     private IntentSpec mIntent;
     private PlacementRequest mPlacementRequest;
     private Optional<ChatTicket> mTicket = Optional.empty();
-    private SpillOrder mSpillOrder;
+    private CandidateQueue mCandidateQueue;
     private long mDeadlineMillis;
     private Attempt mAttempt;
     private Head mHead;
@@ -117,7 +117,7 @@
 
     private void rank() {
         CallerRequest.Prompt p = mRequest.prompt();
-        mTicket = ChatTicket.read(mRequest.ticket(), p.chat(), mContext.ticketKey());
+        mTicket = ChatTicket.verify(mRequest.ticket(), p.chat(), mContext.ticketKey());
         mPlacementRequest =
                 new PlacementRequest(
                         p.chat(),
@@ -134,14 +134,14 @@
         for (int i = 0; i < Math.min(MAX_LOGGED_CANDIDATES, ranked.size()); i++) {
             recordDecision(describe(ranked.get(i)), ranked.get(i).target().name());
         }
-        mSpillOrder = SpillOrder.of(ranked);
+        mCandidateQueue = CandidateQueue.of(ranked);
     }
 
     private static String describe(Candidate c) {
         return String.format(
                 Locale.ROOT,
                 "candidate why=%s score=%.1f saved=%.0f load=%d limit=%d",
-                c.why(),
+                c.reason(),
                 c.score(),
                 c.savedTokens(),
                 c.load(),
@@ -155,7 +155,7 @@
             finish(now() >= mDeadlineMillis ? deadlineExceeded(mLastRefused) : mLastRefused);
             return;
         }
-        Optional<Candidate> c = mSpillOrder.next(mPool, now());
+        Optional<Candidate> c = mCandidateQueue.next(mPool, now());
         if (c.isPresent()) {
             send(c.get(), mContext.digests().forTarget(mPool, c.get().target().name()));
             return;
@@ -194,7 +194,7 @@
                         0,
                         best.estimatedLoad(now()),
                         mPool.limit(best, now()),
-                        Candidate.Why.LOW_LOAD);
+                        Candidate.Reason.LOW_LOAD);
         send(c, List.of());
     }
 
@@ -282,7 +282,8 @@
         String target = mAttempt.candidate().target().name();
         b.withHeader(CallerHeaders.OUTCOME, outcome);
         b.withHeader(CallerHeaders.TARGET, target);
-        b.withHeader(CallerHeaders.WHY, mAttempt.candidate().why().name().toLowerCase(Locale.ROOT));
+        b.withHeader(
+                CallerHeaders.WHY, mAttempt.candidate().reason().name().toLowerCase(Locale.ROOT));
         if (mRequest.forward().chat()) {
             ChatTicket t =
                     new ChatTicket(
@@ -350,7 +351,7 @@
         mTicket.filter(k -> k.target().equals(t.name()))
                 .ifPresent(
                         k ->
-                                t.onReuse(
+                                t.onCacheResult(
                                         mArrivedMillis - k.atMillis(),
                                         k.tokens(),
                                         end.getCachedTokens()));
@@ -366,7 +367,7 @@
         mContext.counters().onRefused(why.reason());
         if (why.reason().isFailure()) {
             t.health().onFailure(now());
-            mSpillOrder.onFailure(t);
+            mCandidateQueue.onFailure(t);
         }
         mLastRefused = why;
         mHead = null;
@@ -400,8 +401,8 @@
         }
         // If the owner is unreachable, the request may still have run there.
         mLastRefused = Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE);
-        mSpillOrder = SpillOrder.of(List.of());
-        Candidate c = new Candidate(owner.get(), 0, 0, 0, 0, Candidate.Why.UNSCORED);
+        mCandidateQueue = CandidateQueue.of(List.of());
+        Candidate c = new Candidate(owner.get(), 0, 0, 0, 0, Candidate.Reason.UNSCORED);
         send(c, List.of());
     }
 
@@ -482,6 +483,6 @@
     }
 
     private void recordDecision(String what, String where) {
-        mContext.decisions().note(mRequest.id(), what, where);
+        mContext.decisions().add(mRequest.id(), what, where);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestLogger.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RequestLogger.java
@@ -31,7 +31,7 @@
     RequestLogger(RouterContext context, CallerRequest request, long contentHash) {
         mContext = context;
         mRequest = request;
-        mContentHash = Hashes.text(contentHash);
+        mContentHash = Hashes.toHex(contentHash);
     }
 
     private long now() {
@@ -39,7 +39,7 @@
     }
 
     private void addNote(String what, String where) {
-        mContext.decisions().note(mRequest.id(), what, where);
+        mContext.decisions().add(mRequest.id(), what, where);
     }
 
     void onTargetSelected(Selection selection) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/ConfigFollower.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.know;
 
 import org.forkseam.core.member.Evacuations;
-import org.forkseam.core.share.ReaderRole;
+import org.forkseam.core.share.StoreReaderRole;
 import org.forkseam.core.store.StorePosition;
 import org.forkseam.core.store.StoreTime;
 import org.forkseam.core.traffic.ConfigChange;
@@ -38,7 +38,7 @@
     private final FleetSource mSource;
     private final Listener mListener;
     private final Evacuations mEvacuations = Evacuations.create();
-    private final ReaderRole mRole = ReaderRole.of(READER_TIMEOUT_MILLIS);
+    private final StoreReaderRole mRole = StoreReaderRole.of(READER_TIMEOUT_MILLIS);
     private TrafficConfig mConfig = TrafficConfig.none();
     private StorePosition mPosition = StorePosition.NONE;
     private long mConfirmedAt;
@@ -141,7 +141,7 @@
         if (isStopped()) {
             return;
         }
-        long quiet = mRole.quietMillis(now());
+        long quiet = mRole.standbyMillis(now());
         if (quiet > 0) {
             schedule(quiet + jitterMillis(), this::follow);
             return;
@@ -266,7 +266,7 @@
         }
         mConfirmedAt = now();
         if (peers().isPrecededBy(sender)) {
-            mRole.onHeard(mConfirmedAt);
+            mRole.onReaderHeard(mConfirmedAt);
         }
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetSignals.java
@@ -4,7 +4,7 @@
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.member.TargetStart;
 import org.forkseam.core.member.TargetWord;
-import org.forkseam.core.share.FactExchange;
+import org.forkseam.core.share.GossipQueue;
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.log.Event;
@@ -37,7 +37,7 @@
 
     private final TargetDirectory mTargets;
     private final Clock mClock;
-    private final FactExchange<Integer> mLeavingExchange = FactExchange.of(MAX_LEAVING, f -> 0);
+    private final GossipQueue<Integer> mLeavingExchange = GossipQueue.of(MAX_LEAVING, f -> 0);
     private final Map<TargetStart, Boolean> mLogged = BoundedMap.byInsertion(MAX_LOGGED_STARTS);
     private final Map<Signal, Long> mCounts = new EnumMap<>(Signal.class);
 
@@ -105,7 +105,7 @@
 
     /** Returns the starts of leaving targets to send to another router. */
     List<Integer> digest() {
-        return mLeavingExchange.digest();
+        return mLeavingExchange.nextBatch();
     }
 
     /** Applies another router's starts of leaving targets. */
