--- a/forkseam-bench/src/test/java/org/forkseam/bench/FailureTest.java
+++ b/forkseam-bench/src/test/java/org/forkseam/bench/FailureTest.java
@@ -27,7 +27,7 @@
                 chatLater(mRouter1, "a", true, Map.of("Request-Id", "r1"));
         String target = busyTarget();
         for (int i = 0; i < 3; i++) {
-            mFleet.sidecar(target).cutLinks();
+            mFleet.sidecar(target).closeLinks();
             Thread.sleep(100);
         }
         assertWhole(a.get(), "a");
@@ -137,7 +137,7 @@
             all.add(chatLater(i % 2 == 0 ? mRouter1 : mRouter2, "g" + i, i % 3 > 0, Map.of()));
         }
         for (int i = 0; i < 3; i++) {
-            mFleet.sidecar("lm-0" + (1 + i)).cutLinks();
+            mFleet.sidecar("lm-0" + (1 + i)).closeLinks();
             Thread.sleep(50);
         }
         for (int i = 0; i < 60; i++) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
@@ -13,12 +13,12 @@
 import org.forkseam.daemon.cfg.SettingKey;
 import org.forkseam.daemon.cfg.Settings;
 import org.forkseam.daemon.net.Links;
-import org.forkseam.daemon.orders.OrderDesk;
-import org.forkseam.daemon.orders.Rollouts;
+import org.forkseam.daemon.orders.OrderHandler;
+import org.forkseam.daemon.orders.RolloutController;
 import org.forkseam.daemon.router.Router;
 import org.forkseam.daemon.share.ClaimSweeper;
-import org.forkseam.daemon.share.ConfigAuthor;
 import org.forkseam.daemon.share.ConfigStore;
+import org.forkseam.daemon.share.ConfigWriter;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.forkseam.daemon.sidecar.CacheWatch;
@@ -51,9 +51,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Is one daemon, put together from its settings: an event loop and the services on it.
+ * A daemon, assembled from its settings: an event loop and the services that run on it.
  *
- * <p>Start and stop are called from a thread that is not the event loop.
+ * <p>Its methods must be called from a thread other than the event loop.
  *
  * @since 0.1
  */
@@ -88,12 +88,12 @@
         mConfigStore =
                 ConfigStore.of(
                         mTable, HttpObjectStore.of(mHttp, settings.text(SettingKey.OBJECT_STORE)));
-        mLinks = Links.of(mLoop, wire(), settings.address(SettingKey.WIRE_LISTEN));
+        mLinks = Links.of(mLoop, wireSettings(), settings.address(SettingKey.WIRE_LISTEN));
         mSync = sync();
-        build();
+        addServices();
     }
 
-    /** Puts a daemon together; nothing runs yet. */
+    /** Creates a daemon without starting it. */
     public static Daemon of(Settings settings, RandomGenerator random) {
         return new Daemon(settings, random);
     }
@@ -104,7 +104,7 @@
         return mSettings.text(SettingKey.HOST);
     }
 
-    private WireSettings wire() {
+    private WireSettings wireSettings() {
         String target = mSettings.optional(SettingKey.TARGET_NAME).orElse("");
         WireIdentity id =
                 WireIdentity.of(
@@ -134,19 +134,19 @@
                         HttpHostList.of(mHttp, mSettings.text(SettingKey.HOST_LIST)),
                         mConfigStore,
                         mLinks),
-                new FleetSync.Pace(
+                new FleetSync.PollIntervals(
                         mSettings.integer(SettingKey.HOST_LIST_MILLIS),
                         mSettings.integer(SettingKey.CONFIG_MILLIS)),
                 host(),
                 mRandom);
     }
 
-    private void build() {
+    private void addServices() {
         new JvmMemoryMetrics().bindTo(mRegistry);
-        count("forkseam.control.bytes", WireCounters::controlBytes);
-        count("forkseam.data.bytes", WireCounters::dataBytes);
-        count("forkseam.wire.rejected.peers", WireCounters::rejectedPeers);
-        count("forkseam.wire.malformed", WireCounters::malformed);
+        registerCounter("forkseam.control.bytes", WireCounters::controlBytes);
+        registerCounter("forkseam.data.bytes", WireCounters::dataBytes);
+        registerCounter("forkseam.wire.rejected.peers", WireCounters::rejectedPeers);
+        registerCounter("forkseam.wire.malformed", WireCounters::malformed);
         mRegistry.gauge("forkseam.config.version", mFleet, f -> f.config().version());
         mKernel.add(mLinks).add(mSync);
         mKernel.add(ClaimSweeper.of(mLoop, mClock, mFleet, mTable, host()));
@@ -165,17 +165,18 @@
         mKernel.add(mAdmin);
     }
 
-    private void count(String name, ToDoubleFunction<WireCounters> value) {
+    private void registerCounter(String name, ToDoubleFunction<WireCounters> value) {
         mRegistry.more().counter(name, List.of(), mLinks.counters(), value);
     }
 
-    private Rollouts rollouts() {
+    private RolloutController rollouts() {
         Optional<WeightStore> weights =
                 mSettings
                         .optional(SettingKey.WEIGHT_STORE)
                         .map(url -> HttpWeightStore.of(mHttp, url));
-        Rollouts.Parts parts = new Rollouts.Parts(mFleet, mSync, mLinks, mTable, weights);
-        return Rollouts.of(mLoop, mClock, parts, host());
+        RolloutController.Dependencies dependencies =
+                new RolloutController.Dependencies(mFleet, mSync, mLinks, mTable, weights);
+        return RolloutController.of(mLoop, mClock, dependencies, host());
     }
 
     private Router router() {
@@ -188,9 +189,10 @@
                         Duration.ofMillis(mSettings.integer(SettingKey.REQUEST_MILLIS)),
                         mSettings.text(SettingKey.TICKET_KEY),
                         mSettings.text(SettingKey.PLACEMENT));
-        Router.Parts parts =
-                new Router.Parts(mFleet, mSync, mLinks, ClaimStore.of(mLoop, mTable), mRegistry);
-        return Router.of(mLoop, mClock, config, parts, mRandom);
+        Router.Dependencies dependencies =
+                new Router.Dependencies(
+                        mFleet, mSync, mLinks, ClaimStore.of(mLoop, mTable), mRegistry);
+        return Router.of(mLoop, mClock, config, dependencies, mRandom);
     }
 
     private Sidecar sidecar() {
@@ -212,7 +214,7 @@
                         SidecarCounters.of(mRegistry));
         if (isEngine()) {
             String url = mSettings.text(SettingKey.TARGET_URL);
-            mLinks.addSink(OrderDesk.of(mHttp, url, mTable, mSync::packet));
+            mLinks.addSink(OrderHandler.of(mHttp, url, mTable, mSync::packet));
         }
         Sidecar s = Sidecar.of(mLoop, mClock, config, parts, mRandom);
         mRegistry.gauge("forkseam.target.load", s, x -> x.gate().load());
@@ -223,7 +225,7 @@
         return mSettings.text(SettingKey.TARGET_KIND).equals("engine");
     }
 
-    /** Plain services have no cache and must see only what callers sent. */
+    /** Only engines have a cache to watch; other services receive only requests of callers. */
     private Optional<CacheWatch> cacheWatch() {
         if (!isEngine()) {
             return Optional.empty();
@@ -242,7 +244,7 @@
                 new AdminApi.Parts(
                         mFleet,
                         mSync,
-                        ConfigAuthor.of(mFleet, mSync, mConfigStore, mClock),
+                        ConfigWriter.of(mFleet, mSync, mConfigStore, mClock),
                         this::dump,
                         mRegistry::scrape,
                         this::isReady,
@@ -266,7 +268,7 @@
         }
     }
 
-    /** Stops in an orderly way: nothing in flight is cut within the time set. */
+    /** Stops gracefully: in-flight requests may finish within the configured time. */
     public void stop() throws InterruptedException {
         mKernel.stop();
         stopLoop();
@@ -282,11 +284,11 @@
         mThread.join();
     }
 
-    /** Closes everything at once and tells nobody, as a crash would; for tests. */
+    /** Closes all channels abruptly to simulate a crash; for tests. */
     public void kill() throws InterruptedException {
         mLoop.execute(
                 () -> {
-                    mLoop.getSelector().keys().forEach(k -> closeAtOnce(k.channel()));
+                    mLoop.getSelector().keys().forEach(k -> closeChannel(k.channel()));
                     mLoop.keepAlive(false);
                     mLoop.breakEventloop();
                 });
@@ -294,12 +296,12 @@
         mThread.join();
     }
 
-    /** Closes every link to other daemons, as a failing switch would; for tests. */
-    public void cutLinks() {
+    /** Closes all links to other daemons to simulate a network failure; for tests. */
+    public void closeLinks() {
         mLoop.execute(() -> mLinks.open().forEach(Link::close));
     }
 
-    private static void closeAtOnce(Channel channel) {
+    private static void closeChannel(Channel channel) {
         try {
             channel.close();
         } catch (IOException e) {
@@ -321,22 +323,22 @@
         return out;
     }
 
-    /** Returns where operators connect. */
+    /** Returns the address bound for operators. */
     public InetSocketAddress operatorsAddress() {
         return mAdmin.address();
     }
 
-    /** Returns where other daemons connect. */
+    /** Returns the address bound for other daemons. */
     public InetSocketAddress wireAddress() {
         return mLinks.address();
     }
 
-    /** Returns where callers connect; only on a router. */
+    /** Returns the address bound for callers; routers only. */
     public InetSocketAddress callersAddress() {
         return mRouter.address();
     }
 
-    /** Returns the metrics. */
+    /** Returns the metrics registry. */
     public PrometheusMeterRegistry registry() {
         return mRegistry;
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/DaemonMain.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/DaemonMain.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 
-/** Runs a daemon from a settings file until it is told to stop. */
+/** Command-line entry point: runs a daemon from a settings file until the JVM shuts down. */
 public final class DaemonMain {
     private static final int EXIT_FAILED = 1;
     private static final int EXIT_USAGE = 2;
@@ -31,7 +31,7 @@
 
     private DaemonMain() {}
 
-    /** Starts the daemon; exits with 2 on wrong usage or settings, 1 if it cannot start. */
+    /** Runs the daemon; exits with 2 on invalid usage or settings, 1 if it fails to start. */
     public static void main(String[] args) throws InterruptedException {
         int code = new DaemonMain().run(args);
         if (code != 0) {
@@ -76,7 +76,7 @@
     }
 
     private static int serve(Settings settings) throws InterruptedException {
-        // Read by the log configuration, so set before the first logger is made.
+        // Read by the logging configuration; must be set before the first logger is created.
         System.setProperty("forkseam.log.format", settings.text(SettingKey.LOG_FORMAT));
         Logger log = LoggerFactory.getLogger(DaemonMain.class);
         Daemon daemon = Daemon.of(settings, new SplittableRandom());
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/AdminApi.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/AdminApi.java
@@ -18,7 +18,7 @@
 import org.forkseam.core.cfg.FleetConfig;
 import org.forkseam.core.kernel.Service;
 import org.forkseam.core.util.Clock;
-import org.forkseam.daemon.share.ConfigAuthor;
+import org.forkseam.daemon.share.ConfigWriter;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.slf4j.Logger;
@@ -73,7 +73,7 @@
     public record Parts(
             Fleet fleet,
             FleetSync sync,
-            ConfigAuthor author,
+            ConfigWriter author,
             Supplier<Map<String, Object>> dump,
             Supplier<String> metrics,
             BooleanSupplier ready,
@@ -196,7 +196,7 @@
         if (!version.matches("[0-9]{1,12}")) {
             return error(400, "version " + version + "; allowed: a whole number");
         }
-        return Promise.ofCompletionStage(mParts.author().at(Long.parseLong(version)))
+        return Promise.ofCompletionStage(mParts.author().versionAt(Long.parseLong(version)))
                 .then(
                         c ->
                                 c.isPresent()
@@ -247,7 +247,7 @@
         if (!path.equals("/v1/config/changes")) {
             return error(404, "path " + path + "; allowed: /v1/config/changes");
         }
-        ConfigAuthor.Request request;
+        ConfigWriter.Request request;
         try {
             request = read(JSON.readTree(body));
         } catch (IOException | IllegalArgumentException e) {
@@ -256,7 +256,7 @@
         return Promise.ofCompletionStage(mParts.author().apply(request)).then(this::answer);
     }
 
-    private static ConfigAuthor.Request read(JsonNode n) {
+    private static ConfigWriter.Request read(JsonNode n) {
         JsonNode base = n.path("base");
         Map<String, Map<String, String>> set =
                 JSON.convertValue(
@@ -270,7 +270,7 @@
         if (changeId.isEmpty()) {
             throw new IllegalArgumentException("change_id is missing; allowed: a unique text");
         }
-        return new ConfigAuthor.Request(
+        return new ConfigWriter.Request(
                 base.isNumber() ? OptionalLong.of(base.asLong()) : OptionalLong.empty(),
                 changeId,
                 n.path("author").asText("unknown"),
@@ -280,27 +280,27 @@
                 n.path("dry_run").asBoolean());
     }
 
-    private Promise<HttpResponse> answer(ConfigAuthor.Result result) {
+    private Promise<HttpResponse> answer(ConfigWriter.Result result) {
         Map<String, Object> m = new LinkedHashMap<>();
-        if (result instanceof ConfigAuthor.Result.Accepted a) {
+        if (result instanceof ConfigWriter.Result.Accepted a) {
             m.put("result", "accepted");
             m.put("version", a.version());
             m.put("findings", texts(a.findings()));
             return json(200, m);
         }
-        if (result instanceof ConfigAuthor.Result.Invalid i) {
+        if (result instanceof ConfigWriter.Result.Invalid i) {
             m.put("result", "invalid");
             m.put("findings", texts(i.findings()));
             return json(422, m);
         }
-        if (result instanceof ConfigAuthor.Result.Conflict c) {
+        if (result instanceof ConfigWriter.Result.Conflict c) {
             m.put("result", "conflict");
             m.put("latest", c.latest());
             m.put("others", c.others().stream().map(AdminApi::describe).toList());
             return json(409, m);
         }
         m.put("result", "unknown");
-        m.put("why", ((ConfigAuthor.Result.Unknown) result).why());
+        m.put("why", ((ConfigWriter.Result.Unknown) result).why());
         return json(503, m);
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/Explainer.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/Explainer.java
@@ -49,7 +49,7 @@
     public CompletableFuture<Map<String, Object>> explain(String requestId) {
         List<HostEntry> others =
                 mFleet.view().hosts().stream().filter(h -> !h.host().equals(mHost)).toList();
-        return mSync.query()
+        return mSync.newQuery()
                 .ask(requestId, others, WITHIN_MILLIS)
                 .thenApply(replies -> merge(requestId, others, replies));
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderDesk.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderHandler.java
@@ -7,7 +7,7 @@
 
 import org.forkseam.core.lease.FenceGuard;
 import org.forkseam.daemon.net.PacketSink;
-import org.forkseam.daemon.share.LeaseKeeper;
+import org.forkseam.daemon.share.LeaseManager;
 import org.forkseam.platform.Row;
 import org.forkseam.platform.TableService;
 import org.forkseam.platform.http.Http;
@@ -25,90 +25,97 @@
 import java.util.function.Supplier;
 
 /**
- * Is the only way for orders to an engine. It drops those of former holders, so that engines that
- * ignore fences are covered too. Used on the event loop.
+ * Submits orders to the engine of this sidecar. Rejects orders with an outdated fencing token, so
+ * that former lease holders cannot act even on engines that ignore the token. Not thread-safe: used
+ * on the event loop only.
  *
  * @since 0.1
  */
-public final class OrderDesk implements PacketSink {
+public final class OrderHandler implements PacketSink {
     private static final int OK = 200;
 
     private final Http mHttp;
     private final String mUrl;
     private final TableService mTable;
-    private final Supplier<Packet.Builder> mPackets;
-    private final Map<String, FenceGuard> mGuards = new HashMap<>();
+    private final Supplier<Packet.Builder> mPacketFactory;
+    private final Map<String, FenceGuard> mFenceGuards = new HashMap<>();
 
-    private OrderDesk(Http http, String url, TableService table, Supplier<Packet.Builder> packets) {
+    private OrderHandler(
+            Http http, String url, TableService table, Supplier<Packet.Builder> packets) {
         mHttp = http;
         mUrl = url + "/v1/orders";
         mTable = table;
-        mPackets = packets;
+        mPacketFactory = packets;
     }
 
-    /** Creates the desk in front of the engine at a base URL. */
-    public static OrderDesk of(
+    /** Creates a handler for the engine at a base URL. */
+    public static OrderHandler of(
             Http http, String url, TableService table, Supplier<Packet.Builder> packets) {
-        return new OrderDesk(http, url, table, packets);
+        return new OrderHandler(http, url, table, packets);
     }
 
     @Override
     public void onPacket(Link link, Packet p) {
         if (p.hasOrder()) {
             handle(p.getOrder())
-                    .thenAccept(r -> link.send(mPackets.get().setOrderReply(r).build()));
+                    .thenAccept(r -> link.send(mPacketFactory.get().setOrderReply(r).build()));
         }
     }
 
     @Override
     public void onClosed(Link link) {
-        // A reply that cannot be sent is asked for again by whoever plans next.
+        // The lease holder polls the state again if a reply is lost.
     }
 
     private CompletableFuture<OrderReply> handle(Order order) {
         if (order.getOnlyAsk()) {
-            return ask(order, OrderResult.STATE);
+            return queryState(order, OrderResult.STATE);
         }
-        FenceGuard guard = mGuards.computeIfAbsent(order.getDeployment(), k -> new FenceGuard());
+        FenceGuard guard =
+                mFenceGuards.computeIfAbsent(order.getDeployment(), k -> new FenceGuard());
         if (!guard.mustLearn()) {
-            return pass(order, guard);
+            return submitIfCurrent(order, guard);
         }
-        // An earlier incarnation of this sidecar may have passed a newer fence on.
-        return mTable.get(LeaseKeeper.key(order.getDeployment()))
-                .handle((row, e) -> e == null ? learn(guard, row) : false)
+        // A previous incarnation of this sidecar may have accepted a newer fence.
+        return mTable.get(LeaseManager.key(order.getDeployment()))
+                .handle((row, e) -> e == null ? recordFence(guard, row) : false)
                 .thenCompose(
                         known ->
                                 known
-                                        ? pass(order, guard)
-                                        : done(order, OrderResult.NO_ANSWER, "fence not known"));
+                                        ? submitIfCurrent(order, guard)
+                                        : completed(
+                                                order,
+                                                OrderResult.NO_ANSWER,
+                                                "cannot read the current fence"));
     }
 
-    private static boolean learn(FenceGuard guard, Optional<Row> row) {
-        guard.learn(row.map(r -> LeaseKeeper.read(r).fence()).orElse(0L));
+    private static boolean recordFence(FenceGuard guard, Optional<Row> row) {
+        guard.learn(row.map(r -> LeaseManager.fromRow(r).fence()).orElse(0L));
         return true;
     }
 
-    private CompletableFuture<OrderReply> pass(Order order, FenceGuard guard) {
+    private CompletableFuture<OrderReply> submitIfCurrent(Order order, FenceGuard guard) {
         if (!guard.admit(order.getFence())) {
-            return done(order, OrderResult.OLD_FENCE, "the latest is " + guard.highest());
+            return completed(
+                    order, OrderResult.OLD_FENCE, "the highest fence is " + guard.highest());
         }
-        return ask(order, OrderResult.STATE)
+        return queryState(order, OrderResult.STATE)
                 .thenCompose(
                         state -> {
                             if (state.getResult().equals(OrderResult.NO_ANSWER.name())) {
                                 return CompletableFuture.completedFuture(state);
                             }
-                            // Meanwhile a newer holder's order may have gone ahead.
+                            // An order with a newer fence may have been accepted meanwhile.
                             if (!guard.admit(order.getFence())) {
-                                return done(order, OrderResult.OLD_FENCE, "");
+                                return completed(order, OrderResult.OLD_FENCE, "");
                             }
                             return state.getChanging()
-                                    ? done(order, OrderResult.CHANGING, "")
-                                    : hand(order);
+                                    ? completed(order, OrderResult.CHANGING, "")
+                                    : submit(order);
                         });
     }
 
-    private CompletableFuture<OrderReply> hand(Order order) {
+    private CompletableFuture<OrderReply> submit(Order order) {
         ObjectNode body = Http.JSON.createObjectNode().put("fence", order.getFence());
         body.put("model", order.getModel()).put("adapter", order.getAdapter());
         body.put("version", order.getVersion()).put("role", order.getRole());
@@ -117,7 +124,7 @@
                 .handle((a, e) -> reply(order, a, e, OrderResult.TAKEN));
     }
 
-    private CompletableFuture<OrderReply> ask(Order order, OrderResult result) {
+    private CompletableFuture<OrderReply> queryState(Order order, OrderResult result) {
         return mHttp.send("engine", HttpMethod.GET, mUrl, null)
                 .handle((a, e) -> reply(order, a, e, result));
     }
@@ -142,11 +149,13 @@
                     .setChanging(n.path("changing").asBoolean())
                     .build();
         } catch (IOException x) {
-            return b.setResult(OrderResult.NO_ANSWER.name()).setDetail("not JSON").build();
+            return b.setResult(OrderResult.NO_ANSWER.name())
+                    .setDetail("engine response is not JSON")
+                    .build();
         }
     }
 
-    private static CompletableFuture<OrderReply> done(
+    private static CompletableFuture<OrderReply> completed(
             Order order, OrderResult result, String detail) {
         return CompletableFuture.completedFuture(
                 OrderReply.newBuilder()
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderResult.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderResult.java
@@ -1,17 +1,17 @@
 package org.forkseam.daemon.orders;
 
-/** Says what became of an order at a sidecar. */
+/** Result of an order, as reported by a sidecar. */
 public enum OrderResult {
-    /** The engine has taken the order. */
+    /** The engine accepted the order. */
     TAKEN,
-    /** Only the state was asked for. */
+    /** Reply to a state query. */
     STATE,
-    /** The order's fence is old: its sender is no longer the holder. */
+    /** The fence is outdated: the sender no longer holds the lease. */
     OLD_FENCE,
-    /** The engine is still carrying another order out. */
+    /** The engine is still executing another order. */
     CHANGING,
-    /** The engine, or the row with the fence, did not answer. */
+    /** The engine or the table service did not respond. */
     NO_ANSWER,
-    /** The engine refused. */
+    /** The engine rejected the order. */
     REFUSED
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/RolloutController.java
@@ -12,7 +12,7 @@
 import org.forkseam.daemon.net.PacketSink;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
-import org.forkseam.daemon.share.LeaseKeeper;
+import org.forkseam.daemon.share.LeaseManager;
 import org.forkseam.daemon.share.Ticker;
 import org.forkseam.platform.TableService;
 import org.forkseam.platform.WeightStore;
@@ -33,58 +33,59 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Holds deployments' leases where nobody else does, and orders engines towards what is declared.
+ * Competes for the deployments' leases and, as holder, orders engines into their declared state.
  *
- * <p>What engines run is asked of their sidecars, so a new holder needs nothing of the former one.
- * Used on the event loop.
+ * <p>The engines' current state is polled from their sidecars, so a new lease holder needs no state
+ * of its predecessor. Not thread-safe: runs on the event loop.
  *
  * @since 0.1
  */
-public final class Rollouts implements Service, PacketSink {
-    /** Name of the service. */
+public final class RolloutController implements Service, PacketSink {
+    /** Service name. */
     public static final String NAME = "rollouts";
 
-    private static final Logger LOG = LoggerFactory.getLogger(Rollouts.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RolloutController.class);
     private static final long TICK_MILLIS = 500;
-    private static final long ASK_MILLIS = 1_500;
-    private static final long STALE_MILLIS = 6_000;
+    private static final long STATE_POLL_INTERVAL_MILLIS = 1_500;
+    private static final long REPLY_TIMEOUT_MILLIS = 6_000;
 
     private final Eventloop mLoop;
     private final Clock mClock;
-    private final Parts mParts;
+    private final Dependencies mDependencies;
     private final String mHost;
     private final Ticker mTicker;
-    private final Map<String, Work> mWorks = new TreeMap<>();
-    private final Map<Long, Asked> mAsked = new HashMap<>();
-    private long mNextId;
+    private final Map<String, Rollout> mRollouts = new TreeMap<>();
+    private final Map<Long, PendingOrder> mPendingOrders = new HashMap<>();
+    private long mNextOrderId;
 
-    /** Holds what rollouts work with. */
-    public record Parts(
+    /** Services that the controller depends on. */
+    public record Dependencies(
             Fleet fleet,
             FleetSync sync,
             Links links,
             TableService table,
             Optional<WeightStore> weights) {}
 
-    /** Remembers to which deployment and engine a question went. */
-    private record Asked(Work work, String target, long atMillis) {}
+    /** An order or state query that awaits its reply. */
+    private record PendingOrder(Rollout rollout, String target, long atMillis) {}
 
-    /** Holds what an engine's sidecar said last. */
-    private record Told(EngineState state, boolean changing, long atMillis) {}
+    /** State that a sidecar last reported for its engine. */
+    private record ReportedState(EngineState state, boolean changing, long atMillis) {}
 
-    private Rollouts(Eventloop loop, Clock clock, Parts parts, String host) {
+    private RolloutController(Eventloop loop, Clock clock, Dependencies dependencies, String host) {
         mLoop = loop;
         mClock = clock;
-        mParts = parts;
+        mDependencies = dependencies;
         mHost = host;
-        // Ids of one daemon's former life must not be taken for this one's.
-        mNextId = clock.nowMillis() << 16;
+        // Avoids reusing the ids of a previous incarnation of this daemon.
+        mNextOrderId = clock.nowMillis() << 16;
         mTicker = Ticker.of(loop, () -> TICK_MILLIS, this::tick);
     }
 
-    /** Creates the service of one daemon. */
-    public static Rollouts of(Eventloop loop, Clock clock, Parts parts, String host) {
-        return new Rollouts(loop, clock, parts, host);
+    /** Creates the controller. */
+    public static RolloutController of(
+            Eventloop loop, Clock clock, Dependencies dependencies, String host) {
+        return new RolloutController(loop, clock, dependencies, host);
     }
 
     // ---------------------------------------------------------------- life-cycle
@@ -101,7 +102,7 @@
 
     @Override
     public CompletableFuture<Void> start() {
-        mLoop.execute(() -> mParts.links().addSink(this));
+        mLoop.execute(() -> mDependencies.links().addSink(this));
         mTicker.start();
         return CompletableFuture.completedFuture(null);
     }
@@ -115,21 +116,21 @@
     @Override
     public Object dump() {
         Map<String, Object> out = new TreeMap<>();
-        mWorks.forEach((n, w) -> out.put(n, w.dump()));
+        mRollouts.forEach((n, w) -> out.put(n, w.dump()));
         return out;
     }
 
-    // ---------------------------------------------------------------- work
+    // ---------------------------------------------------------------- rollout
 
     private void tick() {
         long now = mClock.nowMillis();
-        mAsked.values().removeIf(a -> now - a.atMillis() > STALE_MILLIS);
+        mPendingOrders.values().removeIf(a -> now - a.atMillis() > REPLY_TIMEOUT_MILLIS);
         Map<String, DeploymentSpec> declared = new TreeMap<>();
-        mParts.fleet().config().deployments().forEach(d -> declared.put(d.name(), d));
-        mWorks.keySet().retainAll(declared.keySet());
+        mDependencies.fleet().config().deployments().forEach(d -> declared.put(d.name(), d));
+        mRollouts.keySet().retainAll(declared.keySet());
         for (DeploymentSpec d : declared.values()) {
-            if (LeaseKeeper.isCandidate(d.name(), mHost, mParts.fleet().view().hosts())) {
-                mWorks.computeIfAbsent(d.name(), Work::new).tick(d);
+            if (LeaseManager.isCandidate(d.name(), mHost, mDependencies.fleet().view().hosts())) {
+                mRollouts.computeIfAbsent(d.name(), Rollout::new).tick(d);
             }
         }
     }
@@ -139,27 +140,27 @@
         if (!p.hasOrderReply()) {
             return;
         }
-        Asked a = mAsked.remove(p.getOrderReply().getId());
-        if (a != null) {
-            a.work().onReply(a.target(), p.getOrderReply());
+        PendingOrder pending = mPendingOrders.remove(p.getOrderReply().getId());
+        if (pending != null) {
+            pending.rollout().onReply(pending.target(), p.getOrderReply());
         }
     }
 
     @Override
     public void onClosed(Link link) {
-        // Questions that get no reply are asked again.
+        // Queries without a reply are repeated.
     }
 
-    /** Is the work on one deployment while this daemon may hold its lease. */
-    private final class Work {
-        private final LeaseKeeper mLease;
-        private final Map<String, Told> mTold = new TreeMap<>();
-        private final List<String> mLast = new ArrayList<>();
-        private long mAskedAt;
+    /** Rollout of one deployment for whose lease this daemon is a candidate. */
+    private final class Rollout {
+        private final LeaseManager mLease;
+        private final Map<String, ReportedState> mReportedStates = new TreeMap<>();
+        private final List<String> mEvents = new ArrayList<>();
+        private long mLastPollMillis;
         private boolean mHolder;
 
-        Work(String name) {
-            mLease = LeaseKeeper.of(name, mHost, mParts.table(), mClock);
+        Rollout(String name) {
+            mLease = LeaseManager.of(name, mHost, mDependencies.table(), mClock);
         }
 
         void tick(DeploymentSpec spec) {
@@ -170,20 +171,20 @@
                 LOG.info("event=lease deployment={} held={} fence={}", spec.name(), mHolder, fence);
             }
             if (!mHolder) {
-                mTold.clear();
+                mReportedStates.clear();
                 return;
             }
             List<TargetView> engines = engines(spec);
             long now = mClock.nowMillis();
-            if (now - mAskedAt >= ASK_MILLIS) {
-                mAskedAt = now;
+            if (now - mLastPollMillis >= STATE_POLL_INTERVAL_MILLIS) {
+                mLastPollMillis = now;
                 engines.forEach(t -> send(t, Order.newBuilder().setOnlyAsk(true)));
             }
             plan(spec, engines, fence.get());
         }
 
         private List<TargetView> engines(DeploymentSpec spec) {
-            return mParts.fleet().view().targets().stream()
+            return mDependencies.fleet().view().targets().stream()
                     .filter(t -> !t.isDeclaredLeaving() && spec.selector().matches(t.labels()))
                     .toList();
         }
@@ -193,49 +194,54 @@
             Map<String, TargetView> byName = new HashMap<>();
             for (TargetView t : engines) {
                 byName.put(t.name(), t);
-                Told k = mTold.get(t.name());
-                boolean fresh = k != null && mClock.nowMillis() - k.atMillis() < STALE_MILLIS;
+                ReportedState reported = mReportedStates.get(t.name());
+                boolean fresh =
+                        reported != null
+                                && mClock.nowMillis() - reported.atMillis() < REPLY_TIMEOUT_MILLIS;
                 observed.add(
                         new RolloutPlanner.Observed(
                                 t.name(),
                                 t.failureDomain(),
-                                fresh ? Optional.of(k.state()) : Optional.empty(),
-                                fresh && k.changing()));
+                                fresh ? Optional.of(reported.state()) : Optional.empty(),
+                                fresh && reported.changing()));
             }
             for (String target : RolloutPlanner.next(spec, observed)) {
                 order(spec, byName.get(target), fence);
             }
         }
 
-        /** Marks the engine as changing at once, so that the next plan counts it. */
+        /** Sends an order; marks the engine as changing first, so that the next plan counts it. */
         private void order(DeploymentSpec spec, TargetView target, long fence) {
-            EngineState w = spec.wish();
-            Told before = mTold.get(target.name());
-            mTold.put(target.name(), new Told(before.state(), true, mClock.nowMillis()));
-            permit(w.weights())
+            EngineState desired = spec.wish();
+            ReportedState before = mReportedStates.get(target.name());
+            mReportedStates.put(
+                    target.name(), new ReportedState(before.state(), true, mClock.nowMillis()));
+            requestWeights(desired.weights())
                     .thenAccept(
                             granted -> {
                                 if (granted) {
-                                    note("order " + target.name() + " fence " + fence);
-                                    send(target, orderOf(spec.name(), w, fence));
+                                    recordEvent("order " + target.name() + " fence " + fence);
+                                    send(target, newOrder(spec.name(), desired, fence));
                                 } else {
-                                    note("weights " + w.weights() + " not to be had yet");
+                                    recordEvent(
+                                            "weights " + desired.weights() + " not available yet");
                                 }
                             });
         }
 
-        private static Order.Builder orderOf(String deployment, EngineState w, long fence) {
+        private static Order.Builder newOrder(String deployment, EngineState desired, long fence) {
             return Order.newBuilder()
                     .setDeployment(deployment)
                     .setFence(fence)
-                    .setModel(w.model())
-                    .setAdapter(w.adapter())
-                    .setVersion(w.version())
-                    .setRole(w.role());
+                    .setModel(desired.model())
+                    .setAdapter(desired.adapter())
+                    .setVersion(desired.version())
+                    .setRole(desired.role());
         }
 
-        private CompletableFuture<Boolean> permit(String weights) {
-            return mParts.weights()
+        private CompletableFuture<Boolean> requestWeights(String weights) {
+            return mDependencies
+                    .weights()
                     .map(
                             s ->
                                     s.ask(weights)
@@ -248,32 +254,34 @@
         }
 
         private void send(TargetView target, Order.Builder order) {
-            long id = mNextId++;
-            mAsked.put(id, new Asked(this, target.name(), mClock.nowMillis()));
+            long id = mNextOrderId++;
+            mPendingOrders.put(id, new PendingOrder(this, target.name(), mClock.nowMillis()));
             Order o = order.setId(id).build();
-            mParts.links()
+            mDependencies
+                    .links()
                     .to(target.address())
-                    .thenAccept(l -> l.send(mParts.sync().packet().setOrder(o).build()));
+                    .thenAccept(l -> l.send(mDependencies.sync().packet().setOrder(o).build()));
         }
 
         void onReply(String target, OrderReply r) {
             if (!r.getResult().equals(OrderResult.STATE.name())) {
-                note(target + " " + r.getResult() + " " + r.getDetail());
+                recordEvent(target + " " + r.getResult() + " " + r.getDetail());
             }
-            boolean tells =
+            boolean reportsState =
                     r.getResult().equals(OrderResult.STATE.name())
                             || r.getResult().equals(OrderResult.TAKEN.name());
-            if (tells) {
+            if (reportsState) {
                 EngineState s =
                         new EngineState(r.getModel(), r.getAdapter(), r.getVersion(), r.getRole());
-                mTold.put(target, new Told(s, r.getChanging(), mClock.nowMillis()));
+                mReportedStates.put(
+                        target, new ReportedState(s, r.getChanging(), mClock.nowMillis()));
             }
         }
 
-        private void note(String what) {
-            mLast.add(what);
-            if (mLast.size() > 20) {
-                mLast.remove(0);
+        private void recordEvent(String what) {
+            mEvents.add(what);
+            if (mEvents.size() > 20) {
+                mEvents.remove(0);
             }
         }
 
@@ -281,10 +289,14 @@
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("holder", mHolder);
             m.put("fence", mLease.fence().orElse(0L));
-            Map<String, String> told = new TreeMap<>();
-            mTold.forEach((t, k) -> told.put(t, k.state() + (k.changing() ? " changing" : "")));
-            m.put("engines", told);
-            m.put("latest", List.copyOf(mLast));
+            Map<String, String> engines = new TreeMap<>();
+            mReportedStates.forEach(
+                    (t, reported) ->
+                            engines.put(
+                                    t,
+                                    reported.state() + (reported.changing() ? " changing" : "")));
+            m.put("engines", engines);
+            m.put("latest", List.copyOf(mEvents));
             return m;
         }
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/package-info.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/package-info.java
@@ -1,2 +1,2 @@
-/** Brings engines to what deployments declare, one holder at a time. */
+/** Rolls out declared deployments to engines, with one lease holder per deployment. */
 package org.forkseam.daemon.orders;
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/package-info.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon: one program with a role. */
+/** The daemon process, which runs either as a router or as a sidecar. */
 package org.forkseam.daemon;
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/AttemptRegistry.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/AttemptRegistry.java
@@ -116,7 +116,7 @@
     }
 
     private void updateLoads(Link link, List<org.forkseam.wire.proto.LoadDigest> digests) {
-        mFleet.learn(link, digests, mClock.nowMillis());
+        mFleet.onDigests(link, digests, mClock.nowMillis());
     }
 
     @Override
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
@@ -90,18 +90,22 @@
             String placement) {}
 
     /** Services that a router depends on. */
-    public record Parts(
+    public record Dependencies(
             Fleet fleet, FleetSync sync, Links links, ClaimStore claims, MeterRegistry registry) {}
 
     private Router(
-            Eventloop loop, Clock clock, Config config, Parts parts, RandomGenerator random) {
+            Eventloop loop,
+            Clock clock,
+            Config config,
+            Dependencies dependencies,
+            RandomGenerator random) {
         mLoop = loop;
         mConfig = config;
-        mFleet = parts.fleet();
-        mLinks = parts.links();
-        mSync = parts.sync();
+        mFleet = dependencies.fleet();
+        mLinks = dependencies.links();
+        mSync = dependencies.sync();
         mAttempts = new AttemptRegistry(loop, clock, mFleet, mSync, mLinks);
-        mCounters = new RouterCounters(parts.registry());
+        mCounters = new RouterCounters(dependencies.registry());
         PrefixDirectory prefixes = PrefixDirectory.of(PrefixDirectory.DEFAULT_SIZE);
         mContext =
                 new RouterContext(
@@ -115,7 +119,7 @@
                         new RouterContext.PlacementState(
                                 placement(config.placement(), prefixes, random), prefixes),
                         new RouterContext.RequestChecks(
-                                new ClaimLookup(parts.claims()),
+                                new ClaimLookup(dependencies.claims()),
                                 new QuotaLimiter(mFleet, mSync, mLinks)),
                         mCounters);
         mTicker = Ticker.of(loop, () -> TICK_MILLIS, this::tick);
@@ -123,8 +127,12 @@
 
     /** Creates a router. */
     public static Router of(
-            Eventloop loop, Clock clock, Config config, Parts parts, RandomGenerator random) {
-        return new Router(loop, clock, config, parts, random);
+            Eventloop loop,
+            Clock clock,
+            Config config,
+            Dependencies dependencies,
+            RandomGenerator random) {
+        return new Router(loop, clock, config, dependencies, random);
     }
 
     private static Placement placement(
@@ -158,7 +166,7 @@
                 () -> {
                     mLinks.addSink(mAttempts);
                     mLinks.addSink(mContext.quotas());
-                    mSync.setDecisions(mContext.decisions());
+                    mSync.setDecisionLog(mContext.decisions());
                     mServer =
                             HttpServer.builder(mLoop, this::serve)
                                     .withListenAddress(mConfig.listen())
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RouterContext.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RouterContext.java
@@ -5,7 +5,7 @@
 import org.forkseam.core.route.PrefixDirectory;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
-import org.forkseam.daemon.share.DigestCarrier;
+import org.forkseam.daemon.share.DigestSampler;
 import org.forkseam.daemon.share.Fleet;
 
 import java.util.LinkedHashSet;
@@ -22,7 +22,7 @@
     private final AttemptRegistry mAttempts;
     private final Placement mPlacement;
     private final PrefixDirectory mPrefixes;
-    private final DigestCarrier mDigests;
+    private final DigestSampler mDigests;
     private final ClaimLookup mClaims;
     private final RouterCounters mCounters;
     private final RetryBudget mBudget =
@@ -60,7 +60,7 @@
         mAttempts = attempts;
         mPlacement = placement.placement();
         mPrefixes = placement.prefixes();
-        mDigests = DigestCarrier.of(fleet, mClock, mRandom);
+        mDigests = DigestSampler.of(fleet, mClock, mRandom);
         mClaims = checks.claims();
         mQuotas = checks.quotas();
         mCounters = counters;
@@ -98,7 +98,7 @@
         return mPrefixes;
     }
 
-    DigestCarrier digests() {
+    DigestSampler digests() {
         return mDigests;
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ClaimSweeper.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ClaimSweeper.java
@@ -16,30 +16,30 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Deletes claims that no caller may repeat any more. One daemon does it for the fleet, by lease; a
- * second one at the same time would do no harm.
+ * Deletes claims older than the retention period. One daemon, elected by lease, does so for the
+ * fleet; concurrent sweepers are harmless. Not thread-safe: runs on the event loop.
  *
  * @since 0.1
  */
 public final class ClaimSweeper implements Service {
-    /** Name of the service. */
+    /** Service name. */
     public static final String NAME = "claim-sweeper";
 
-    /** Clocks of two hosts may differ by so much. */
-    private static final long SLACK_MILLIS = 3_600_000;
+    /** Allowance for clock skew between hosts. */
+    private static final long CLOCK_SKEW_MILLIS = 3_600_000;
 
     private static final long TICK_MILLIS = 2_000;
-    private static final int PAGE = 250;
+    private static final int PAGE_SIZE = 250;
 
     private final Eventloop mLoop;
     private final Clock mClock;
     private final Fleet mFleet;
     private final TableService mTable;
     private final String mHost;
-    private final LeaseKeeper mLease;
+    private final LeaseManager mLease;
     private final Ticker mTicker;
-    private String mAfter = "";
-    private long mSwept;
+    private String mLastKey = "";
+    private long mDeletedCount;
 
     private ClaimSweeper(
             Eventloop loop, Clock clock, Fleet fleet, TableService table, String host) {
@@ -48,11 +48,11 @@
         mFleet = fleet;
         mTable = table;
         mHost = host;
-        mLease = LeaseKeeper.of(NAME, host, table, clock);
+        mLease = LeaseManager.of(NAME, host, table, clock);
         mTicker = Ticker.of(loop, () -> TICK_MILLIS, this::tick);
     }
 
-    /** Creates the sweeper of one daemon. */
+    /** Creates a claim sweeper. */
     public static ClaimSweeper of(
             Eventloop loop, Clock clock, Fleet fleet, TableService table, String host) {
         return new ClaimSweeper(loop, clock, fleet, table, host);
@@ -77,32 +77,33 @@
 
     @Override
     public Object dump() {
-        return Map.of("holder", mLease.fence().isPresent(), "swept", mSwept);
+        return Map.of("holder", mLease.fence().isPresent(), "swept", mDeletedCount);
     }
 
     private void tick() {
-        if (!LeaseKeeper.isCandidate(NAME, mHost, mFleet.view().hosts())) {
+        if (!LeaseManager.isCandidate(NAME, mHost, mFleet.view().hosts())) {
             return;
         }
         mLease.tick();
         if (mLease.fence().isPresent()) {
-            mTable.scan(ClaimStore.PREFIX, mAfter, PAGE)
-                    .thenAccept(r -> mLoop.post(() -> sweep(r)));
+            mTable.scan(ClaimStore.PREFIX, mLastKey, PAGE_SIZE)
+                    .thenAccept(r -> mLoop.post(() -> deleteExpired(r)));
         }
     }
 
-    private void sweep(List<Row> rows) {
-        mAfter = rows.size() < PAGE ? "" : rows.get(rows.size() - 1).key();
-        List<Write> deletes = rows.stream().filter(this::isOver).map(ClaimSweeper::delete).toList();
+    private void deleteExpired(List<Row> rows) {
+        mLastKey = rows.size() < PAGE_SIZE ? "" : rows.get(rows.size() - 1).key();
+        List<Write> deletes =
+                rows.stream().filter(this::isExpired).map(ClaimSweeper::delete).toList();
         if (!deletes.isEmpty()) {
-            mSwept += deletes.size();
+            mDeletedCount += deletes.size();
             mTable.transact(deletes);
         }
     }
 
-    private boolean isOver(Row row) {
+    private boolean isExpired(Row row) {
         long age = mClock.nowMillis() - ClaimStore.seen(row).row().atMillis();
-        return age > ClaimRow.RETENTION_MILLIS + SLACK_MILLIS;
+        return age > ClaimRow.RETENTION_MILLIS + CLOCK_SKEW_MILLIS;
     }
 
     private static Write delete(Row row) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ConfigStore.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ConfigStore.java
@@ -23,22 +23,23 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Keeps the sequence of configuration versions in the table service.
+ * Stores the history of configuration versions in the table service. Thread-safe if the services
+ * are.
  *
- * <p>The row {@code config/head} names the latest version, and one row for each change leads there.
- * Both are written in one transaction under the condition that the head has not moved, so that of
- * two operators who race one is refused. Every so many versions the whole configuration goes to the
- * object store, so that a fresh daemon need not read all changes.
+ * <p>The row {@code config/head} holds the latest version; each change has a row of its own. Both
+ * are written in one transaction, conditional on the head being unchanged, so that one of two
+ * concurrent changes is rejected. Periodic snapshots in the object store save a new daemon from
+ * replaying all changes.
  *
  * @since 0.1
  */
 public final class ConfigStore {
-    /** Versions between two snapshots. */
-    public static final int SNAPSHOT_EVERY = 50;
+    /** Number of versions between snapshots. */
+    public static final int SNAPSHOT_INTERVAL_VERSIONS = 50;
 
-    private static final String HEAD = "config/head";
-    private static final String CHANGE = "config/change/";
-    private static final String SNAPSHOT = "config/snapshot";
+    private static final String HEAD_KEY = "config/head";
+    private static final String CHANGE_KEY_PREFIX = "config/change/";
+    private static final String SNAPSHOT_KEY = "config/snapshot";
     private static final int MAX_CHANGES = 1000;
     private static final ObjectMapper JSON =
             new ObjectMapper().configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
@@ -47,20 +48,20 @@
     private final ObjectStore mObjects;
 
     /**
-     * Names the latest version.
+     * The latest version, as recorded in the head row.
      *
-     * @param version the version; 0 before the first change
-     * @param hash its hash
-     * @param changeId id of the change that led to it
-     * @param revision of the row, for the next compare-and-set
+     * @param version version number; 0 before the first change
+     * @param hash hash of the configuration
+     * @param changeId id of the change that produced the version
+     * @param revision revision of the row, for compare-and-set
      */
     public record Head(long version, String hash, String changeId, long revision) {}
 
-    /** Holds the head row's text. */
-    private record HeadText(long version, String hash, String changeId) {}
+    /** JSON form of the head row. */
+    private record HeadJson(long version, String hash, String changeId) {}
 
-    /** Holds a snapshot's text. */
-    private record SnapshotText(
+    /** JSON form of a snapshot. */
+    private record SnapshotJson(
             long version, String hash, Map<String, Map<String, String>> sections) {}
 
     private ConfigStore(TableService table, ObjectStore objects) {
@@ -68,25 +69,25 @@
         mObjects = objects;
     }
 
-    /** Creates a store over the platform's services. */
+    /** Creates a store backed by the given services. */
     public static ConfigStore of(TableService table, ObjectStore objects) {
         return new ConfigStore(table, objects);
     }
 
-    /** Reads which version is the latest. */
+    /** Reads the head row. */
     public CompletableFuture<Head> head() {
-        return mTable.get(HEAD).thenApply(ConfigStore::toHead);
+        return mTable.get(HEAD_KEY).thenApply(ConfigStore::toHead);
     }
 
     private static Head toHead(Optional<Row> row) {
         if (row.isEmpty()) {
             return new Head(0, "", "", 0);
         }
-        HeadText t = read(row.get().value(), new TypeReference<HeadText>() {});
+        HeadJson t = fromJson(row.get().value(), new TypeReference<HeadJson>() {});
         return new Head(t.version(), t.hash(), t.changeId(), row.get().revision());
     }
 
-    /** Reads the changes that follow a version, in order, as far as one scan reaches. */
+    /** Reads the changes that follow a version, in order. */
     public CompletableFuture<List<ConfigChange>> changesAfter(FleetConfig known, long upTo) {
         List<CompletableFuture<Optional<Row>>> reads = new ArrayList<>();
         long last = Math.min(upTo, known.version() + MAX_CHANGES);
@@ -102,7 +103,7 @@
                                             .map(ConfigStore::toChange)
                                             .toList());
         }
-        return mTable.scan(CHANGE, "", Integer.MAX_VALUE)
+        return mTable.scan(CHANGE_KEY_PREFIX, "", Integer.MAX_VALUE)
                 .thenApply(
                         rows ->
                                 rows.stream()
@@ -111,9 +112,9 @@
                                         .toList());
     }
 
-    /** Reads the latest snapshot, if there is any. */
+    /** Reads the latest snapshot, if any. */
     public CompletableFuture<Optional<FleetConfig>> snapshot() {
-        return mTable.get(SNAPSHOT)
+        return mTable.get(SNAPSHOT_KEY)
                 .thenCompose(
                         row ->
                                 row.isEmpty()
@@ -122,52 +123,53 @@
                 .thenApply(data -> data.map(ConfigStore::toConfig));
     }
 
-    /** Writes a change if the head is still the one given. */
+    /** Writes a change and advances the head row, if that is unchanged. */
     public CompletableFuture<TxnResult> write(Head head, ConfigChange change) {
-        HeadText text = new HeadText(change.version(), change.hash(), change.changeId());
-        Write moveHead = new Write(HEAD, Optional.of(text(text)), Optional.of(head.revision()));
-        Write addChange = Write.insert(changeKey(change.version()), text(change));
+        HeadJson text = new HeadJson(change.version(), change.hash(), change.changeId());
+        Write moveHead =
+                new Write(HEAD_KEY, Optional.of(toJson(text)), Optional.of(head.revision()));
+        Write addChange = Write.insert(changeKey(change.version()), toJson(change));
         return mTable.transact(List.of(moveHead, addChange));
     }
 
-    /** Writes a snapshot; its loss costs time only. */
+    /** Writes a snapshot. Failures are harmless, as the changes remain. */
     public CompletableFuture<Void> writeSnapshot(FleetConfig config) {
-        SnapshotText t = new SnapshotText(config.version(), config.hash(), config.sections());
-        String key = SNAPSHOT + "/" + config.version();
-        return mObjects.put(key, text(t).getBytes(StandardCharsets.UTF_8))
-                .thenCompose(v -> mTable.transact(List.of(Write.put(SNAPSHOT, key))))
+        SnapshotJson t = new SnapshotJson(config.version(), config.hash(), config.sections());
+        String key = SNAPSHOT_KEY + "/" + config.version();
+        return mObjects.put(key, toJson(t).getBytes(StandardCharsets.UTF_8))
+                .thenCompose(v -> mTable.transact(List.of(Write.put(SNAPSHOT_KEY, key))))
                 .thenApply(r -> null);
     }
 
     private static String changeKey(long version) {
-        return CHANGE + String.format("%012d", version);
+        return CHANGE_KEY_PREFIX + String.format("%012d", version);
     }
 
     private static ConfigChange toChange(Row row) {
-        return read(row.value(), new TypeReference<ConfigChange>() {});
+        return fromJson(row.value(), new TypeReference<ConfigChange>() {});
     }
 
     private static FleetConfig toConfig(byte[] data) {
-        SnapshotText t =
-                read(
+        SnapshotJson t =
+                fromJson(
                         new String(data, StandardCharsets.UTF_8),
-                        new TypeReference<SnapshotText>() {});
+                        new TypeReference<SnapshotJson>() {});
         return FleetConfig.of(t.version(), t.hash(), t.sections());
     }
 
-    private static String text(Object value) {
+    private static String toJson(Object value) {
         try {
             return JSON.writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("values of this class can always be written", e);
+            throw new IllegalStateException("failed to serialize a configuration row", e);
         }
     }
 
-    private static <T> T read(String text, TypeReference<T> type) {
+    private static <T> T fromJson(String text, TypeReference<T> type) {
         try {
             return JSON.readValue(text, type);
         } catch (IOException e) {
-            throw new UncheckedIOException("a row of the table service cannot be read", e);
+            throw new UncheckedIOException("malformed configuration row in the table service", e);
         }
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ConfigAuthor.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ConfigWriter.java
@@ -17,29 +17,29 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Accepts operators' changes: checks them whole, then moves the head row by compare-and-set.
+ * Validates operators' configuration changes and commits them by compare-and-set on the head row.
  *
- * <p>Of operators who race one another, one is accepted and the others are shown its change. A lost
- * answer is settled by the change id in the head row. Used on the event loop.
+ * <p>Of concurrent changes one is accepted; the others get a conflict that lists it. After a lost
+ * reply, the outcome is determined by the change id. Not thread-safe: used on the event loop only.
  *
  * @since 0.1
  */
-public final class ConfigAuthor {
+public final class ConfigWriter {
     private final Fleet mFleet;
     private final FleetSync mSync;
     private final ConfigStore mStore;
     private final Clock mClock;
 
     /**
-     * Holds a change as an operator asks for it.
+     * A configuration change requested by an operator.
      *
-     * @param base the version the operator read; empty to follow whatever is the latest
-     * @param changeId chosen by the operator's client
-     * @param author who asks
-     * @param note why
-     * @param set sections to write whole
-     * @param removed sections to take away
-     * @param dryRun whether only to check
+     * @param base version that the change is based on; empty for the latest
+     * @param changeId idempotency key chosen by the operator's client
+     * @param author author of the change
+     * @param note reason for the change
+     * @param set sections to add or replace
+     * @param removed sections to remove
+     * @param dryRun whether to only validate the change
      */
     public record Request(
             OptionalLong base,
@@ -50,44 +50,44 @@
             Set<String> removed,
             boolean dryRun) {}
 
-    /** Is what became of a change. */
+    /** Outcome of a change. */
     public sealed interface Result {
-        /** The change is accepted, or with a dry run would be. */
+        /** The change was committed, or is valid in case of a dry run. */
         record Accepted(long version, List<Finding> findings) implements Result {}
 
-        /** The change is faulty; nothing was changed. */
+        /** The change is invalid; nothing was written. */
         record Invalid(List<Finding> findings) implements Result {}
 
-        /** Others changed the configuration meanwhile; nothing was changed. */
+        /** The configuration has changed since the base version; nothing was written. */
         record Conflict(long latest, List<ConfigChange> others) implements Result {}
 
         /**
-         * The table service gave no answer; with the same change id the request can be repeated.
+         * The table service did not respond; the request can be retried with the same change id.
          */
         record Unknown(String why) implements Result {}
     }
 
-    private ConfigAuthor(Fleet fleet, FleetSync sync, ConfigStore store, Clock clock) {
+    private ConfigWriter(Fleet fleet, FleetSync sync, ConfigStore store, Clock clock) {
         mFleet = fleet;
         mSync = sync;
         mStore = store;
         mClock = clock;
     }
 
-    /** Creates the author's side of one daemon. */
-    public static ConfigAuthor of(Fleet fleet, FleetSync sync, ConfigStore store, Clock clock) {
-        return new ConfigAuthor(fleet, sync, store, clock);
+    /** Creates a configuration writer. */
+    public static ConfigWriter of(Fleet fleet, FleetSync sync, ConfigStore store, Clock clock) {
+        return new ConfigWriter(fleet, sync, store, clock);
     }
 
-    /** Checks and writes a change. */
+    /** Validates and commits a change. */
     public CompletableFuture<Result> apply(Request request) {
         return mSync.catchUp()
                 .thenCompose(head -> apply(request, head))
                 .exceptionally(e -> new Result.Unknown("not written: " + e));
     }
 
-    /** Returns an earlier version, rebuilt from the changes in the table service. */
-    public CompletableFuture<Optional<FleetConfig>> at(long version) {
+    /** Reconstructs an earlier version from the changes in the table service. */
+    public CompletableFuture<Optional<FleetConfig>> versionAt(long version) {
         return mStore.changesAfter(FleetConfig.empty(), version)
                 .thenApply(
                         changes -> {
@@ -101,16 +101,18 @@
 
     private CompletableFuture<Result> apply(Request request, ConfigStore.Head head) {
         FleetConfig now = mFleet.config();
-        Optional<ConfigChange> earlier = find(request.changeId());
+        Optional<ConfigChange> earlier = findChange(request.changeId());
         if (earlier.isPresent()) {
-            return done(new Result.Accepted(earlier.get().version(), now.findings()));
+            return completed(new Result.Accepted(earlier.get().version(), now.findings()));
         }
         if (now.version() != head.version()) {
-            return done(new Result.Unknown("not written: cannot catch up with " + head.version()));
+            return completed(
+                    new Result.Unknown(
+                            "not written: cannot catch up with version " + head.version()));
         }
         long base = request.base().orElse(head.version());
         if (base != head.version()) {
-            return done(new Result.Conflict(head.version(), after(base)));
+            return completed(new Result.Conflict(head.version(), changesAfter(base)));
         }
         ConfigChange change =
                 ConfigChange.of(
@@ -121,12 +123,12 @@
                         request.note(),
                         request.set(),
                         request.removed());
-        List<Finding> findings = check(now.with(change).orElseThrow());
+        List<Finding> findings = validate(now.with(change).orElseThrow());
         if (findings.stream().anyMatch(Finding::error)) {
-            return done(new Result.Invalid(findings));
+            return completed(new Result.Invalid(findings));
         }
         if (request.dryRun()) {
-            return done(new Result.Accepted(change.version(), findings));
+            return completed(new Result.Accepted(change.version(), findings));
         }
         return mStore.write(head, change).thenCompose(r -> onWritten(r, request, change, findings));
     }
@@ -134,36 +136,36 @@
     private CompletableFuture<Result> onWritten(
             TxnResult result, Request request, ConfigChange change, List<Finding> findings) {
         if (result instanceof TxnResult.Applied) {
-            return done(accepted(change, findings));
+            return completed(accepted(change, findings));
         }
         return mSync.catchUp()
                 .handle(
                         (head, e) -> {
                             if (e != null) {
-                                return new Result.Unknown("written or not: " + e);
+                                return new Result.Unknown("write outcome unknown: " + e);
                             }
-                            if (find(request.changeId()).isPresent()) {
+                            if (findChange(request.changeId()).isPresent()) {
                                 return new Result.Accepted(change.version(), findings);
                             }
                             if (result instanceof TxnResult.Conflict) {
                                 return new Result.Conflict(
-                                        head.version(), after(change.version() - 1));
+                                        head.version(), changesAfter(change.version() - 1));
                             }
-                            return new Result.Unknown("written or not: " + result);
+                            return new Result.Unknown("write outcome unknown: " + result);
                         });
     }
 
     private Result accepted(ConfigChange change, List<Finding> findings) {
         mSync.onAccepted(change);
         FleetConfig config = mFleet.config();
-        if (config.version() % ConfigStore.SNAPSHOT_EVERY == 0) {
+        if (config.version() % ConfigStore.SNAPSHOT_INTERVAL_VERSIONS == 0) {
             mStore.writeSnapshot(config);
         }
         return new Result.Accepted(change.version(), findings);
     }
 
-    /** Adds to the reader's findings those that need to know which targets there are. */
-    private List<Finding> check(FleetConfig next) {
+    /** Adds an error for each pool whose selector matches no known target. */
+    private List<Finding> validate(FleetConfig next) {
         List<Finding> out = new ArrayList<>(next.findings());
         if (mFleet.view().targets().isEmpty()) {
             return out;
@@ -185,7 +187,7 @@
                                 "pool " + p.name(),
                                 "selector",
                                 p.selector().toString(),
-                                "a selector that finds at least one of the "
+                                "a selector that matches at least one of the "
                                         + mFleet.view().targets().size()
                                         + " targets",
                                 true));
@@ -194,17 +196,17 @@
         return out;
     }
 
-    private Optional<ConfigChange> find(String changeId) {
+    private Optional<ConfigChange> findChange(String changeId) {
         return mFleet.log().history().stream()
                 .filter(c -> c.changeId().equals(changeId))
                 .findFirst();
     }
 
-    private List<ConfigChange> after(long version) {
+    private List<ConfigChange> changesAfter(long version) {
         return mFleet.log().history().stream().filter(c -> c.version() > version).toList();
     }
 
-    private static CompletableFuture<Result> done(Result result) {
+    private static CompletableFuture<Result> completed(Result result) {
         return CompletableFuture.completedFuture(result);
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/DecisionReplies.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/DecisionReplies.java
@@ -7,11 +7,11 @@
 import org.forkseam.wire.proto.DecisionQuery;
 import org.forkseam.wire.proto.DecisionReply;
 
-/** Answers other daemons that ask what this one decided on a request. Stateless. */
+/** Builds replies to queries of other daemons for decisions on a request. Stateless. */
 final class DecisionReplies {
     private DecisionReplies() {}
 
-    static DecisionReply to(DecisionQuery query, DecisionLog log) {
+    static DecisionReply replyTo(DecisionQuery query, DecisionLog log) {
         ArrayNode list = Http.JSON.createArrayNode();
         for (DecisionLog.Note n : log.of(query.getRequestId())) {
             list.addObject()
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/Fleet.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/Fleet.java
@@ -20,40 +20,40 @@
 import java.util.TreeMap;
 
 /**
- * Holds what a daemon believes of the fleet and tells listeners when the configuration changes.
- * Used on the event loop only.
+ * A daemon's view of the fleet: hosts, configuration and target load. Not thread-safe: used on the
+ * event loop only.
  *
  * @since 0.1
  */
 public final class Fleet {
     private final FleetView mView = new FleetView();
     private final ConfigLog mLog = new ConfigLog();
-    private final Map<Integer, TargetView> mByHash = new HashMap<>();
+    private final Map<Integer, TargetView> mTargetsByHash = new HashMap<>();
     private final List<Runnable> mListeners = new ArrayList<>();
     private long mConfigAtMillis;
     private long mHostsAtMillis;
 
-    /** Adds a listener that runs after hosts or configuration changed. */
+    /** Adds a listener to run after the hosts or the configuration changed. */
     public void addListener(Runnable listener) {
         mListeners.add(listener);
     }
 
-    /** Returns targets and pools as believed. */
+    /** Returns the current view of targets and pools. */
     public FleetView view() {
         return mView;
     }
 
-    /** Returns the configuration in force. */
+    /** Returns the active configuration. */
     public FleetConfig config() {
         return mLog.current();
     }
 
-    /** Returns the changes kept. */
+    /** Returns the log of configuration changes. */
     public ConfigLog log() {
         return mLog;
     }
 
-    /** Returns when the configuration in force came in. */
+    /** Returns when the active configuration was received; 0 if never. */
     public long configAtMillis() {
         return mConfigAtMillis;
     }
@@ -63,57 +63,56 @@
         return mHostsAtMillis;
     }
 
-    /** Takes a host list in. */
+    /** Updates the host list and notifies listeners. */
     public void onHosts(List<HostEntry> hosts, long nowMillis) {
         mHostsAtMillis = nowMillis;
         mView.onHosts(hosts);
-        changed();
+        onChanged();
     }
 
-    /** Puts changes in force as far as they follow; returns whether any did. */
+    /** Applies consecutive changes; returns whether any was applied. */
     public boolean onChanges(List<ConfigChange> changes, long nowMillis) {
-        return inForce(mLog.apply(changes), nowMillis);
+        return activate(mLog.apply(changes), nowMillis);
     }
 
-    /** Puts a whole configuration in force if it is newer; returns whether it was. */
-    public boolean onWhole(FleetConfig whole, long nowMillis) {
-        return inForce(mLog.applySnapshot(whole), nowMillis);
+    /** Applies a full configuration if it is newer; returns whether it was applied. */
+    public boolean onSnapshot(FleetConfig config, long nowMillis) {
+        return activate(mLog.applySnapshot(config), nowMillis);
     }
 
-    private boolean inForce(boolean any, long nowMillis) {
-        if (any) {
+    private boolean activate(boolean applied, long nowMillis) {
+        if (applied) {
             mConfigAtMillis = nowMillis;
             mView.onConfig(mLog.current());
-            changed();
+            onChanged();
         }
-        return any;
+        return applied;
     }
 
-    private void changed() {
-        mByHash.clear();
-        mView.targets().forEach(t -> mByHash.put(Codec.targetHash(t.name()), t));
+    private void onChanged() {
+        mTargetsByHash.clear();
+        mView.targets().forEach(t -> mTargetsByHash.put(Codec.targetHash(t.name()), t));
         mListeners.forEach(Runnable::run);
     }
 
     /**
-     * Takes in the digests that came over a link, and returns them without those of unknown
-     * targets.
+     * Applies the digests received over a link and returns them, except those of unknown targets.
      */
-    public List<LoadDigest> learn(
+    public List<LoadDigest> onDigests(
             Link link, List<org.forkseam.wire.proto.LoadDigest> digests, long nowMillis) {
         List<LoadDigest> out = new ArrayList<>(digests.size());
         for (org.forkseam.wire.proto.LoadDigest d : digests) {
             Optional<TargetView> t =
                     d.getTarget() == 0
                             ? mView.target(link.peer().getTarget())
-                            : Optional.ofNullable(mByHash.get(d.getTarget()));
+                            : Optional.ofNullable(mTargetsByHash.get(d.getTarget()));
             t.ifPresent(v -> out.add(Codec.fromWire(d, v.name(), v.capacity(), nowMillis)));
         }
         out.forEach(mView::onDigest);
         return out;
     }
 
-    /** Returns a dump of hosts, configuration and targets. */
+    /** Returns a state dump of hosts, configuration and targets. */
     public Map<String, Object> dump(long nowMillis) {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("config_version", config().version());
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
@@ -32,27 +32,27 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps a daemon's view of the fleet up to date: hosts from the platform's list, configuration from
- * peers first and from the table service behind them, load from digests.
+ * Synchronizes a daemon's view of the fleet: hosts from the platform's host list, configuration
+ * from peers and the table service, load from digests. Not thread-safe: runs on the event loop.
  *
- * <p>A daemon that learns of a new version at once tells a few others, so that it reaches all in a
- * few rounds; every packet names the sender's version, so that whoever is behind pulls; and a slow
- * poll of the head row, its rate shared among all daemons, backs both up. Used on the event loop.
+ * <p>Configuration changes spread by gossip. Every packet carries the sender's version, so that a
+ * daemon that is behind can pull. As a fallback, daemons poll the head row, at a rate limited for
+ * the whole fleet.
  *
  * @since 0.1
  */
 public final class FleetSync implements Service, PacketSink {
-    /** Name of the service. */
+    /** Service name. */
     public static final String NAME = "fleet-sync";
 
     private static final Logger LOG = LoggerFactory.getLogger(FleetSync.class);
-    private static final int FANOUT = 3;
-    private static final int NOTICE_DIGESTS = 3;
-    private static final long NOTICE_MILLIS = 1_000;
-    private static final long AGAIN_MILLIS = 200;
+    private static final int GOSSIP_FANOUT = 3;
+    private static final int DIGESTS_PER_NOTICE = 3;
+    private static final long LOAD_NOTICE_INTERVAL_MILLIS = 1_000;
+    private static final long MIN_SYNC_INTERVAL_MILLIS = 200;
 
-    /** Reads of the head row that all daemons together may cause in a second. */
-    private static final double HEAD_READS_PER_SECOND = 50;
+    /** Maximum rate of head row reads of all daemons together. */
+    private static final double FLEET_HEAD_READS_PER_SECOND = 50;
 
     private final Eventloop mLoop;
     private final Clock mClock;
@@ -65,16 +65,16 @@
     private final Ticker mHostTicker;
     private final Ticker mConfigTicker;
     private final Ticker mNoticeTicker;
-    private final Map<Link, Long> mCaughtUpAt = new HashMap<>();
+    private final Map<Link, Long> mLastSyncMillis = new HashMap<>();
     private Supplier<Optional<LoadDigest>> mOwnDigest = Optional::empty;
     private DecisionLog mDecisions = DecisionLog.of(0);
-    private boolean mHostsDown;
-    private boolean mStoreDown;
+    private boolean mHostListDown;
+    private boolean mConfigStoreDown;
 
-    /** Holds how often a daemon reads the platform. */
-    public record Pace(long hostListMillis, long configMillis) {}
+    /** Intervals at which a daemon polls the host list and the configuration. */
+    public record PollIntervals(long hostListMillis, long configMillis) {}
 
-    /** Holds what a daemon's view is kept up to date with. */
+    /** Sources that the view is synchronized with. */
     public record Sources(HostList hostList, ConfigStore store, Links links) {}
 
     private FleetSync(
@@ -82,7 +82,7 @@
             Clock clock,
             Fleet fleet,
             Sources sources,
-            Pace pace,
+            PollIntervals intervals,
             String host,
             RandomGenerator random) {
         mLoop = loop;
@@ -93,22 +93,24 @@
         mStore = sources.store();
         mHost = host;
         mRandom = random;
-        mHostTicker = Ticker.of(loop, () -> jitter(pace.hostListMillis()), this::readHosts);
+        mHostTicker = Ticker.of(loop, () -> jitter(intervals.hostListMillis()), this::readHosts);
         mConfigTicker =
-                Ticker.of(loop, () -> jitter(configDelay(pace.configMillis())), this::pollHead);
-        mNoticeTicker = Ticker.of(loop, () -> jitter(NOTICE_MILLIS), this::sendNotice);
+                Ticker.of(
+                        loop, () -> jitter(configDelay(intervals.configMillis())), this::pollHead);
+        mNoticeTicker =
+                Ticker.of(loop, () -> jitter(LOAD_NOTICE_INTERVAL_MILLIS), this::sendLoadNotice);
     }
 
-    /** Creates the service of one daemon. */
+    /** Creates the service. */
     public static FleetSync of(
             Eventloop loop,
             Clock clock,
             Fleet fleet,
             Sources sources,
-            Pace pace,
+            PollIntervals intervals,
             String host,
             RandomGenerator random) {
-        return new FleetSync(loop, clock, fleet, sources, pace, host, random);
+        return new FleetSync(loop, clock, fleet, sources, intervals, host, random);
     }
 
     // ---------------------------------------------------------------- life-cycle
@@ -154,73 +156,73 @@
 
     // ---------------------------------------------------------------- public API
 
-    /** Sets where the digest of this daemon's own target comes from. */
+    /** Sets the supplier of the digest of this daemon's own target. */
     public void setOwnDigest(Supplier<Optional<LoadDigest>> digest) {
         mOwnDigest = digest;
     }
 
-    /** Sets the decisions that other daemons may ask for. */
-    public void setDecisions(DecisionLog decisions) {
+    /** Sets the decision log that other daemons may query. */
+    public void setDecisionLog(DecisionLog decisions) {
         mDecisions = decisions;
     }
 
-    /** Returns the link keeper, to ask other daemons. */
-    public PeerQuery query() {
+    /** Returns a new query to other daemons. */
+    public PeerQuery newQuery() {
         return PeerQuery.of(mLoop, mLinks, this::packet);
     }
 
-    /** Returns a packet builder that names the version in force here. */
+    /** Returns a packet builder with the active configuration version set. */
     public Packet.Builder packet() {
         return Packet.newBuilder().setConfigVersion(mFleet.config().version());
     }
 
-    /** Puts a change that was accepted here in force and tells others. */
+    /** Applies a change committed by this daemon and gossips it. */
     public void onAccepted(ConfigChange change) {
         if (mFleet.onChanges(List.of(change), mClock.nowMillis())) {
-            logInForce("accepted-here");
-            tellOthers(null);
+            logConfigActivated("accepted-here");
+            gossipLatestChange(null);
         }
     }
 
-    /** Reads the head row and what follows the version in force; completes when caught up. */
+    /** Reads the head row and applies all changes since the active version. */
     public CompletableFuture<ConfigStore.Head> catchUp() {
         return mStore.head().thenCompose(h -> catchUp(h).thenApply(v -> h));
     }
 
-    // ---------------------------------------------------------------- from the platform
+    // ---------------------------------------------------------------- platform
 
     private void readHosts() {
         mHostList
                 .read()
                 .whenComplete(
                         (hosts, e) -> {
-                            noteHosts(e);
+                            logHostListState(e);
                             if (e == null) {
                                 mFleet.onHosts(hosts, mClock.nowMillis());
                             }
                         });
     }
 
-    private void noteHosts(Throwable e) {
-        if ((e != null) != mHostsDown) {
-            mHostsDown = e != null;
+    private void logHostListState(Throwable e) {
+        if ((e != null) != mHostListDown) {
+            mHostListDown = e != null;
             LOG.warn(
                     "event=host-list state={} cause=\"{}\"",
-                    mHostsDown ? "down" : "up",
+                    mHostListDown ? "down" : "up",
                     String.valueOf(e));
         }
     }
 
     private void pollHead() {
-        catchUp().whenComplete((h, e) -> noteStore(e));
+        catchUp().whenComplete((h, e) -> logConfigStoreState(e));
     }
 
-    private void noteStore(Throwable e) {
-        if ((e != null) != mStoreDown) {
-            mStoreDown = e != null;
+    private void logConfigStoreState(Throwable e) {
+        if ((e != null) != mConfigStoreDown) {
+            mConfigStoreDown = e != null;
             LOG.warn(
                     "event=config-store state={} cause=\"{}\"",
-                    mStoreDown ? "down" : "up",
+                    mConfigStoreDown ? "down" : "up",
                     String.valueOf(e));
         }
     }
@@ -230,41 +232,42 @@
         if (head.version() <= known.version()) {
             return CompletableFuture.completedFuture(null);
         }
-        boolean far = head.version() - known.version() > ConfigStore.SNAPSHOT_EVERY;
-        CompletableFuture<Void> first =
-                far
-                        ? mStore.snapshot().thenAccept(s -> s.ifPresent(this::onWhole))
+        boolean useSnapshot =
+                head.version() - known.version() > ConfigStore.SNAPSHOT_INTERVAL_VERSIONS;
+        CompletableFuture<Void> snapshot =
+                useSnapshot
+                        ? mStore.snapshot().thenAccept(s -> s.ifPresent(this::onSnapshot))
                         : CompletableFuture.completedFuture(null);
-        return first.thenCompose(v -> mStore.changesAfter(mFleet.config(), head.version()))
+        return snapshot.thenCompose(v -> mStore.changesAfter(mFleet.config(), head.version()))
                 .thenAccept(
                         changes -> {
                             if (mFleet.onChanges(changes, mClock.nowMillis())) {
-                                logInForce("table-service");
-                                tellOthers(null);
+                                logConfigActivated("table-service");
+                                gossipLatestChange(null);
                             }
                         });
     }
 
-    private void onWhole(FleetConfig whole) {
-        if (mFleet.onWhole(whole, mClock.nowMillis())) {
-            logInForce("snapshot");
+    private void onSnapshot(FleetConfig config) {
+        if (mFleet.onSnapshot(config, mClock.nowMillis())) {
+            logConfigActivated("snapshot");
         }
     }
 
-    private void logInForce(String source) {
+    private void logConfigActivated(String source) {
         LOG.info("event=config-in-force version={} source={}", mFleet.config().version(), source);
     }
 
-    private long configDelay(long shortest) {
+    private long configDelay(long minDelay) {
         int daemons = Math.max(1, mFleet.view().hosts().size());
-        return Math.max(shortest, (long) (daemons * 1000 / HEAD_READS_PER_SECOND));
+        return Math.max(minDelay, (long) (daemons * 1000 / FLEET_HEAD_READS_PER_SECOND));
     }
 
     private long jitter(long millis) {
         return millis / 2 + mRandom.nextLong(millis + 1);
     }
 
-    // ---------------------------------------------------------------- from and to peers
+    // ---------------------------------------------------------------- peers
 
     @Override
     public void onPacket(Link link, Packet p) {
@@ -272,65 +275,66 @@
             pull(link);
         }
         if (p.hasLoadNotice() && p.getConfigVersion() < mFleet.config().version()) {
-            pushTo(link, p.getConfigVersion());
+            pushIfAllowed(link, p.getConfigVersion());
         }
         switch (p.getBodyCase()) {
-            case CONFIG_PULL -> answerPull(link, p.getConfigPull());
+            case CONFIG_PULL -> onPull(link, p.getConfigPull());
             case CONFIG_PUSH -> onPush(link, p.getConfigPush());
-            case LOAD_NOTICE -> onNotice(link, p.getLoadNotice());
+            case LOAD_NOTICE -> onLoadNotice(link, p.getLoadNotice());
             case DECISION_QUERY ->
                     link.send(
                             packet().setDecisionReply(
-                                            DecisionReplies.to(p.getDecisionQuery(), mDecisions))
+                                            DecisionReplies.replyTo(
+                                                    p.getDecisionQuery(), mDecisions))
                                     .build());
             default -> {
-                // The other sinks' concern.
+                // Handled by other sinks.
             }
         }
     }
 
     @Override
     public void onClosed(Link link) {
-        mCaughtUpAt.remove(link);
+        mLastSyncMillis.remove(link);
     }
 
-    private void onNotice(Link link, LoadNotice notice) {
-        mFleet.learn(link, notice.getDigestsList(), mClock.nowMillis());
+    private void onLoadNotice(Link link, LoadNotice notice) {
+        mFleet.onDigests(link, notice.getDigestsList(), mClock.nowMillis());
     }
 
-    /** Returns whether a link may be used for catching up again so soon. */
-    private boolean mayUse(Link link) {
+    /** Limits the rate of pulls and pushes over a link; returns whether one is allowed now. */
+    private boolean tryAcquireSync(Link link) {
         long now = mClock.nowMillis();
-        Long last = mCaughtUpAt.get(link);
-        if (last != null && now - last < AGAIN_MILLIS) {
+        Long last = mLastSyncMillis.get(link);
+        if (last != null && now - last < MIN_SYNC_INTERVAL_MILLIS) {
             return false;
         }
-        mCaughtUpAt.put(link, now);
+        mLastSyncMillis.put(link, now);
         return true;
     }
 
     private void pull(Link link) {
-        if (!mayUse(link)) {
+        if (!tryAcquireSync(link)) {
             return;
         }
         ConfigPull pull = ConfigPull.newBuilder().setFromVersion(mFleet.config().version()).build();
         link.send(packet().setConfigPull(pull).build());
     }
 
-    private void answerPull(Link link, ConfigPull pull) {
+    private void onPull(Link link, ConfigPull pull) {
         if (pull.getFromVersion() < mFleet.config().version()) {
-            send(link, pull.getFromVersion());
+            sendChanges(link, pull.getFromVersion());
         }
     }
 
-    /** Brings a daemon forward that was heard to be behind. */
-    private void pushTo(Link link, long fromVersion) {
-        if (mayUse(link)) {
-            send(link, fromVersion);
+    /** Sends the changes that a peer is missing, if the rate limit allows. */
+    private void pushIfAllowed(Link link, long fromVersion) {
+        if (tryAcquireSync(link)) {
+            sendChanges(link, fromVersion);
         }
     }
 
-    private void send(Link link, long fromVersion) {
+    private void sendChanges(Link link, long fromVersion) {
         ConfigPush push =
                 mFleet.log()
                         .since(fromVersion)
@@ -341,64 +345,65 @@
 
     private void onPush(Link link, ConfigPush push) {
         long now = mClock.nowMillis();
-        boolean any;
+        boolean applied;
         if (push.getWhole() && push.getChangesCount() == 1) {
-            any = mFleet.onWhole(Codec.wholeFromWire(push.getChanges(0)), now);
+            applied = mFleet.onSnapshot(Codec.wholeFromWire(push.getChanges(0)), now);
         } else {
             List<ConfigChange> changes = new ArrayList<>();
             push.getChangesList().forEach(c -> changes.add(Codec.fromWire(c)));
-            any = mFleet.onChanges(changes, now);
+            applied = mFleet.onChanges(changes, now);
         }
-        if (any) {
-            logInForce(link.peer().getHost());
-            tellOthers(link);
+        if (applied) {
+            logConfigActivated(link.peer().getHost());
+            gossipLatestChange(link);
         }
     }
 
-    /** Sends the latest change to a few daemons drawn at random. */
-    private void tellOthers(Link except) {
+    /** Sends the latest change to a few random daemons. */
+    private void gossipLatestChange(Link exclude) {
         List<ConfigChange> history = mFleet.log().history();
         ConfigPush push =
                 history.isEmpty()
                         ? Codec.push(mFleet.config())
                         : Codec.push(List.of(history.get(history.size() - 1)));
         Packet packet = packet().setConfigPush(push).build();
-        for (int i = 0; i < FANOUT; i++) {
+        for (int i = 0; i < GOSSIP_FANOUT; i++) {
             randomPeer()
                     .ifPresent(
                             h ->
                                     mLinks.to(h.address())
-                                            .thenAccept(l -> sendUnless(l, except, packet)));
+                                            .thenAccept(l -> sendUnless(l, exclude, packet)));
         }
     }
 
-    private static void sendUnless(Link link, Link except, Packet packet) {
-        if (link != except) {
+    private static void sendUnless(Link link, Link exclude, Packet packet) {
+        if (link != exclude) {
             link.send(packet);
         }
     }
 
-    /** Tells one random daemon the load of this target and of a few others. */
-    private void sendNotice() {
+    /** Sends the load of this target and the latest digests of others to a random daemon. */
+    private void sendLoadNotice() {
         long now = mClock.nowMillis();
         LoadNotice.Builder b = LoadNotice.newBuilder();
         mOwnDigest.get().ifPresent(d -> b.addDigests(Codec.ownToWire(d, now)));
-        newest().forEach(d -> b.addDigests(Codec.toWire(d, now)));
+        newestDigests().forEach(d -> b.addDigests(Codec.toWire(d, now)));
         Packet packet = packet().setLoadNotice(b).build();
         randomPeer().ifPresent(h -> mLinks.to(h.address()).thenAccept(l -> l.send(packet)));
     }
 
-    private List<LoadDigest> newest() {
+    private List<LoadDigest> newestDigests() {
         return mFleet.view().targets().stream()
                 .flatMap(t -> t.digest().stream())
                 .sorted((a, b) -> Long.compare(b.atMillis(), a.atMillis()))
-                .limit(NOTICE_DIGESTS)
+                .limit(DIGESTS_PER_NOTICE)
                 .toList();
     }
 
-    /** Asks every daemon for its version; completes when all have answered or the time is up. */
-    public CompletableFuture<Map<String, Long>> versions(long withinMillis) {
-        return query().ask("", mFleet.view().hosts(), withinMillis)
+    /** Queries all daemons for their version; completes when all replied or on timeout. */
+    public CompletableFuture<Map<String, Long>> versions(long timeoutMillis) {
+        return newQuery()
+                .ask("", mFleet.view().hosts(), timeoutMillis)
                 .thenApply(
                         replies -> {
                             Map<String, Long> out = new TreeMap<>();
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseKeeper.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseManager.java
@@ -20,111 +20,111 @@
 import java.util.Optional;
 
 /**
- * Holds one lease in the table service if nobody else does. Used on the event loop.
+ * Acquires and renews one lease in the table service. Not thread-safe: used on the event loop only.
  *
- * <p>Any daemon may hold any lease, but only the few that the lease's name hashes to try, so that a
- * lease costs the table service some reads a second whatever the size of the fleet.
+ * <p>Only a few daemons, chosen by rendezvous hashing on the lease name, compete for a lease, so
+ * that its load on the table service does not grow with the fleet.
  *
  * @since 0.1
  */
-public final class LeaseKeeper {
-    /** How long a lease lasts unrenewed. */
+public final class LeaseManager {
+    /** Time after which a lease expires unless renewed. */
     public static final long TTL_MILLIS = 9_000;
 
-    private static final String PREFIX = "lease/";
-    private static final int CANDIDATES = 3;
+    private static final String KEY_PREFIX = "lease/";
+    private static final int CANDIDATE_COUNT = 3;
 
     private final String mName;
     private final TableService mTable;
     private final Clock mClock;
     private final LeaseWatch mWatch;
-    private long mNextAtMillis;
-    private boolean mBusy;
+    private long mNextAttemptMillis;
+    private boolean mRequestPending;
 
-    private LeaseKeeper(String name, String host, TableService table, Clock clock) {
+    private LeaseManager(String name, String host, TableService table, Clock clock) {
         mName = name;
         mTable = table;
         mClock = clock;
         mWatch = LeaseWatch.of(host, TTL_MILLIS);
     }
 
-    /** Creates a keeper of one lease for one daemon. */
-    public static LeaseKeeper of(String name, String host, TableService table, Clock clock) {
-        return new LeaseKeeper(name, host, table, clock);
+    /** Creates a manager of one lease for one daemon. */
+    public static LeaseManager of(String name, String host, TableService table, Clock clock) {
+        return new LeaseManager(name, host, table, clock);
     }
 
-    /** Returns the key of a lease's row. */
+    /** Returns the row key of a lease. */
     public static String key(String name) {
-        return PREFIX + name;
+        return KEY_PREFIX + name;
     }
 
-    /** Returns whether a host is among the few that try to hold a lease. */
+    /** Returns whether a host is a candidate for a lease. */
     public static boolean isCandidate(String name, String host, Collection<HostEntry> hosts) {
         long key = Hashes.of(name);
         return hosts.stream()
                 .filter(h -> !h.leaving())
                 .map(HostEntry::host)
                 .sorted(Comparator.comparingLong(h -> Hashes.mix(key, Hashes.of(h))))
-                .limit(CANDIDATES)
+                .limit(CANDIDATE_COUNT)
                 .anyMatch(host::equals);
     }
 
-    /** Renews or tries to take the lease, if it is time to. */
+    /** Renews or tries to acquire the lease when due. */
     public void tick() {
         long now = mClock.nowMillis();
-        if (mBusy || now < mNextAtMillis) {
+        if (mRequestPending || now < mNextAttemptMillis) {
             return;
         }
-        mBusy = true;
-        mNextAtMillis = now + TTL_MILLIS / 4;
+        mRequestPending = true;
+        mNextAttemptMillis = now + TTL_MILLIS / 4;
         mTable.get(key(mName)).whenComplete((row, e) -> onRead(row, e));
     }
 
     private void onRead(Optional<Row> row, Throwable e) {
         if (e != null) {
-            mBusy = false;
+            mRequestPending = false;
             return;
         }
         long revision = row.map(Row::revision).orElse(0L);
         LeaseWatch.Step step =
-                mWatch.onRead(row.map(LeaseKeeper::read), revision, mClock.nowMillis());
+                mWatch.onRead(row.map(LeaseManager::fromRow), revision, mClock.nowMillis());
         if (step == LeaseWatch.Step.WAIT) {
-            mBusy = false;
+            mRequestPending = false;
             return;
         }
         Write w =
                 step == LeaseWatch.Step.INSERT
-                        ? Write.insert(key(mName), text(mWatch.next()))
-                        : Write.replace(key(mName), text(mWatch.next()), revision);
+                        ? Write.insert(key(mName), toJson(mWatch.next()))
+                        : Write.replace(key(mName), toJson(mWatch.next()), revision);
         mTable.transact(List.of(w)).thenAccept(this::onWritten);
     }
 
     private void onWritten(TxnResult result) {
-        mBusy = false;
+        mRequestPending = false;
         if (result instanceof TxnResult.Applied a) {
             mWatch.onWritten(a.revision());
         }
     }
 
-    /** Returns the fence if this daemon may act as the holder now. */
+    /** Returns the fencing token if this daemon currently holds the lease. */
     public Optional<Long> fence() {
         return mWatch.fence(mClock.nowMillis());
     }
 
-    /** Reads a lease out of its row. */
-    public static LeaseRow read(Row row) {
+    /** Parses a lease row. */
+    public static LeaseRow fromRow(Row row) {
         try {
             return Http.JSON.readValue(row.value(), LeaseRow.class);
         } catch (JsonProcessingException e) {
-            throw new UncheckedIOException("lease " + row.key() + " cannot be read", e);
+            throw new UncheckedIOException("malformed lease row " + row.key(), e);
         }
     }
 
-    private static String text(LeaseRow row) {
+    private static String toJson(LeaseRow row) {
         try {
             return Http.JSON.writeValueAsString(row);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a lease can always be written", e);
+            throw new IllegalStateException("failed to serialize a lease row", e);
         }
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/PeerQuery.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/PeerQuery.java
@@ -17,69 +17,70 @@
 import java.util.function.Supplier;
 
 /**
- * Asks other daemons what they decided on a request, on behalf of an operator. Who does not answer
- * in time is left out. Used on the event loop.
+ * Queries other daemons for their decisions on a request. Daemons that do not reply in time are
+ * omitted from the result. Not thread-safe: used on the event loop only.
  *
  * @since 0.1
  */
 public final class PeerQuery implements PacketSink {
     private final Eventloop mLoop;
     private final Links mLinks;
-    private final Supplier<Packet.Builder> mPackets;
-    private final long mId = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
+    private final Supplier<Packet.Builder> mPacketFactory;
+    private final long mQueryId = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
     private final Map<String, Packet> mReplies = new HashMap<>();
-    private final CompletableFuture<Map<String, Packet>> mDone = new CompletableFuture<>();
-    private int mWaiting;
+    private final CompletableFuture<Map<String, Packet>> mResult = new CompletableFuture<>();
+    private int mPendingReplies;
 
     private PeerQuery(Eventloop loop, Links links, Supplier<Packet.Builder> packets) {
         mLoop = loop;
         mLinks = links;
-        mPackets = packets;
+        mPacketFactory = packets;
     }
 
-    /** Creates one question. */
+    /** Creates a query, to be sent once. */
     public static PeerQuery of(Eventloop loop, Links links, Supplier<Packet.Builder> packets) {
         return new PeerQuery(loop, links, packets);
     }
 
-    /** Sends the question and returns the replies by host. */
+    /** Sends the query and returns the replies by host. */
     public CompletableFuture<Map<String, Packet>> ask(
-            String requestId, Collection<HostEntry> hosts, long withinMillis) {
+            String requestId, Collection<HostEntry> hosts, long timeoutMillis) {
         mLinks.addSink(this);
-        DecisionQuery q = DecisionQuery.newBuilder().setQuery(mId).setRequestId(requestId).build();
-        mWaiting = hosts.size();
+        DecisionQuery q =
+                DecisionQuery.newBuilder().setQuery(mQueryId).setRequestId(requestId).build();
+        mPendingReplies = hosts.size();
         for (HostEntry h : hosts) {
             mLinks.to(h.address())
                     .whenComplete(
                             (link, e) -> {
                                 if (e == null) {
-                                    link.send(mPackets.get().setDecisionQuery(q).build());
+                                    link.send(mPacketFactory.get().setDecisionQuery(q).build());
                                 } else {
-                                    oneLess();
+                                    onPeerDone();
                                 }
                             });
         }
-        mLoop.delay(withinMillis, () -> mDone.complete(mReplies));
-        return mDone.whenComplete((r, e) -> mLinks.removeSink(this));
+        mLoop.delay(timeoutMillis, () -> mResult.complete(mReplies));
+        return mResult.whenComplete((r, e) -> mLinks.removeSink(this));
     }
 
-    private void oneLess() {
-        mWaiting--;
-        if (mWaiting <= 0) {
-            mDone.complete(mReplies);
+    private void onPeerDone() {
+        mPendingReplies--;
+        if (mPendingReplies <= 0) {
+            mResult.complete(mReplies);
         }
     }
 
     @Override
     public void onPacket(Link link, Packet p) {
-        if (p.hasDecisionReply() && p.getDecisionReply().getQuery() == mId) {
+        if (p.hasDecisionReply() && p.getDecisionReply().getQuery() == mQueryId) {
             mReplies.put(link.peer().getHost(), p);
-            oneLess();
+            onPeerDone();
         }
     }
 
     @Override
     public void onClosed(Link link) {
-        // The time limit covers it.
+        // Covered by the timeout.
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/Ticker.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/Ticker.java
@@ -5,7 +5,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Runs a task again and again on the event loop, each time after a delay that is asked for anew.
+ * Runs a task periodically on the event loop, with a delay computed before each run. Not
+ * thread-safe.
  *
  * @since 0.1
  */
@@ -21,23 +22,23 @@
         mTask = task;
     }
 
-    /** Creates a ticker that has yet to be started. */
+    /** Creates a stopped ticker. */
     public static Ticker of(Eventloop loop, LongSupplier delayMillis, Runnable task) {
         return new Ticker(loop, delayMillis, task);
     }
 
-    /** Starts ticking, the first time after one delay. */
+    /** Starts the ticker; the first run is after one delay. */
     public void start() {
         mRunning = true;
-        mLoop.execute(this::next);
+        mLoop.execute(this::scheduleNext);
     }
 
-    /** Stops ticking. */
+    /** Stops the ticker. */
     public void stop() {
         mRunning = false;
     }
 
-    private void next() {
+    private void scheduleNext() {
         mLoop.delayBackground(mDelayMillis.getAsLong(), this::tick);
     }
 
@@ -46,6 +47,6 @@
             return;
         }
         mTask.run();
-        next();
+        scheduleNext();
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/package-info.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/package-info.java
@@ -1,2 +1,2 @@
-/** What every daemon knows of the fleet: hosts, configuration, load. */
+/** State of the fleet shared by all daemons: hosts, configuration, load and leases. */
 package org.forkseam.daemon.share;
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
@@ -13,7 +13,7 @@
 import org.forkseam.core.util.DecisionLog;
 import org.forkseam.daemon.net.Links;
 import org.forkseam.daemon.net.PacketSink;
-import org.forkseam.daemon.share.DigestCarrier;
+import org.forkseam.daemon.share.DigestSampler;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.forkseam.daemon.share.Ticker;
@@ -67,7 +67,7 @@
     private final TargetGate<Exchange> mGate;
     private final AnswerKeeper mKeeper;
     private final DecisionLog mDecisions;
-    private final DigestCarrier mDigests;
+    private final DigestSampler mDigests;
     private final Map<Link, Map<Long, Attached>> mStreams = new HashMap<>();
     private final Viewer.Voice mVoice;
     private final Ticker mTicker;
@@ -113,7 +113,7 @@
                 new UnrepeatableRuns(loop, clock, parts.claims(), mTarget, mGate, mCounters);
         mKeeper = AnswerKeeper.of(config.keptBytes());
         mDecisions = DecisionLog.of(DecisionLog.DEFAULT_SIZE);
-        mDigests = DigestCarrier.of(mFleet, clock, random);
+        mDigests = DigestSampler.of(mFleet, clock, random);
         mVoice = new Viewer.Voice(mSync::packet, this::ownDigest, this::cacheLifetime);
         mTicker = Ticker.of(loop, () -> TICK_MILLIS, this::tick);
     }
@@ -143,7 +143,7 @@
                 () -> {
                     mLinks.addSink(this);
                     mLinks.addSink(new QuotaHome(mFleet, mSync, mClock));
-                    mSync.setDecisions(mDecisions);
+                    mSync.setDecisionLog(mDecisions);
                     mSync.setOwnDigest(() -> Optional.of(mGate.digest()));
                     mFleet.addListener(this::onFleetChanged);
                     onFleetChanged();
@@ -281,7 +281,7 @@
     }
 
     private void learn(Link link, List<org.forkseam.wire.proto.LoadDigest> digests) {
-        mFleet.learn(link, digests, mClock.nowMillis()).forEach(mGate::onDigest);
+        mFleet.onDigests(link, digests, mClock.nowMillis()).forEach(mGate::onDigest);
     }
 
     private void onSubmit(Link link, Submit s) {
