--- a/forkseam-core/src/main/java/org/forkseam/core/route/CacheAwarePlacement.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/CacheAwarePlacement.java
@@ -127,7 +127,7 @@
         }
 
         private void add(TargetView t, double saved, Candidate.Reason reason) {
-            double healthShare = mPanicMode ? 1 : t.health().share(mNow);
+            double healthShare = mPanicMode ? 1 : t.health().trafficShare(mNow);
             if (t.isLeaving(mNow) || healthShare == 0) {
                 return;
             }
--- a/forkseam-core/src/main/java/org/forkseam/core/share/TargetListDelta.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/share/TargetListDelta.java
@@ -2,7 +2,7 @@
 
 import org.forkseam.core.member.TargetEntry;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -71,8 +71,8 @@
     }
 
     /** Returns when the newer list was read. */
-    public StoreTime readTime() {
-        return StoreTime.of(position.era(), readAt);
+    public StoreTimestamp readTime() {
+        return StoreTimestamp.of(position.era(), readAt);
     }
 
     /** Returns a hash of a list that does not depend on its order. */
--- a/forkseam-core/src/test/java/org/forkseam/core/share/LoadGossipTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/share/LoadGossipTest.java
@@ -24,33 +24,33 @@
     @Test
     void readingReachesARouterWithoutRequests() {
         Target sender = target("i");
-        sender.onLoad(9, 1_000);
+        sender.onLoadReported(9, 1_000);
         Target receiver = target("i");
         LoadGossip.apply(LoadGossip.newestReadings(List.of(sender), 1_200), only(receiver), 5_000);
         assertThat(receiver.othersInFlight(5_000)).isEqualTo(9);
-        assertThat(receiver.readingAgeMillis(5_000)).isEqualTo(200);
+        assertThat(receiver.loadReportAgeMillis(5_000)).isEqualTo(200);
     }
 
     @Test
     void ownRequestsAreNotCountedTwice() {
         Target receiver = target("i");
-        receiver.onSent(4_000);
-        receiver.onLoadHeard(9, 5_000);
+        receiver.onRequestSent(4_000);
+        receiver.onLoadRelayed(9, 5_000);
         assertThat(receiver.inFlight() + receiver.othersInFlight(5_000)).isEqualTo(9);
     }
 
     @Test
     void olderReadingIsIgnored() {
         Target receiver = target("i");
-        receiver.onLoad(3, 5_000);
-        receiver.onLoadHeard(9, 4_999);
-        assertThat(receiver.loadTold()).isEqualTo(3);
+        receiver.onLoadReported(3, 5_000);
+        receiver.onLoadRelayed(9, 4_999);
+        assertThat(receiver.reportedLoad()).isEqualTo(3);
     }
 
     @Test
     void staleAndMissingReadingsAreNotSent() {
         Target old = target("old");
-        old.onLoad(9, 1_000);
+        old.onLoadReported(9, 1_000);
         assertThat(LoadGossip.newestReadings(List.of(old, target("unknown")), 2_001)).isEmpty();
     }
 
@@ -58,7 +58,7 @@
     void readingsOfUnknownTargetsAreIgnored() {
         Target known = target("i");
         LoadGossip.apply(List.of(new LoadReading(77, 9, 0)), only(known), 5_000);
-        assertThat(known.readingAgeMillis(5_000)).isEqualTo(-1);
+        assertThat(known.loadReportAgeMillis(5_000)).isEqualTo(-1);
     }
 
     /** With 830 targets, a message stays within its size limit. */
@@ -67,7 +67,7 @@
         List<Target> targets = new ArrayList<>();
         for (int i = 0; i < 830; i++) {
             Target t = target("i-" + i);
-            t.onLoad(1, 1_000 + i);
+            t.onLoadReported(1, 1_000 + i);
             targets.add(t);
         }
         List<LoadReading> digest = LoadGossip.newestReadings(targets, 1_900);
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderHandler.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderHandler.java
@@ -73,7 +73,7 @@
         }
         FenceGuard guard =
                 mFenceGuards.computeIfAbsent(order.getDeployment(), k -> new FenceGuard());
-        if (!guard.mustLearn()) {
+        if (!guard.isUninitialized()) {
             return submitIfCurrent(order, guard);
         }
         // A previous incarnation of this sidecar may have accepted a newer fence.
@@ -90,7 +90,7 @@
     }
 
     private static boolean recordFence(FenceGuard guard, Optional<Row> row) {
-        guard.learn(row.map(r -> LeaseManager.fromRow(r).fence()).orElse(0L));
+        guard.initialize(row.map(r -> LeaseManager.fromRow(r).fence()).orElse(0L));
         return true;
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/RolloutController.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/RolloutController.java
@@ -190,7 +190,7 @@
         }
 
         private void plan(DeploymentSpec spec, List<TargetView> engines, long fence) {
-            List<RolloutPlanner.Observed> observed = new ArrayList<>();
+            List<RolloutPlanner.ObservedEngine> observed = new ArrayList<>();
             Map<String, TargetView> byName = new HashMap<>();
             for (TargetView t : engines) {
                 byName.put(t.name(), t);
@@ -199,7 +199,7 @@
                         reported != null
                                 && mClock.nowMillis() - reported.atMillis() < REPLY_TIMEOUT_MILLIS;
                 observed.add(
-                        new RolloutPlanner.Observed(
+                        new RolloutPlanner.ObservedEngine(
                                 t.name(),
                                 t.failureDomain(),
                                 fresh ? Optional.of(reported.state()) : Optional.empty(),
@@ -212,7 +212,7 @@
 
         /** Sends an order; marks the engine as changing first, so that the next plan counts it. */
         private void order(DeploymentSpec spec, TargetView target, long fence) {
-            EngineState desired = spec.wish();
+            EngineState desired = spec.desired();
             ReportedState before = mReportedStates.get(target.name());
             mReportedStates.put(
                     target.name(), new ReportedState(before.state(), true, mClock.nowMillis()));
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempt.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempt.java
@@ -1,9 +1,9 @@
 package org.forkseam.daemon.router;
 
-import org.forkseam.core.answer.AnswerAssembler;
+import org.forkseam.core.answer.ResponseAssembler;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.OutcomeKind;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.core.route.Candidate;
 import org.forkseam.wire.Link;
 import org.forkseam.wire.proto.Cancel;
@@ -34,7 +34,7 @@
         void onComplete(Attempt attempt, End end);
 
         /** Called when the attempt was refused or its response cannot be completed. */
-        void onFailed(Attempt attempt, Refused why);
+        void onFailed(Attempt attempt, AttemptFailure why);
     }
 
     /** Flow-control window: maximum bytes in transit that the caller has not consumed. */
@@ -47,7 +47,7 @@
     private final Candidate mCandidate;
     private final Submit mSubmit;
     private final Listener mListener;
-    private final AnswerAssembler mAssembler = new AnswerAssembler();
+    private final ResponseAssembler mAssembler = new ResponseAssembler();
     private Link mLink;
     private long mStreamId;
     private long mIncarnation;
@@ -106,7 +106,7 @@
 
     private void onUnreachable(Throwable cause) {
         fail(
-                Refused.notRun(RefusalReason.UNREACHABLE, 1_000)
+                AttemptFailure.notRun(RefusalReason.UNREACHABLE, 1_000)
                         .withDetail(String.valueOf(cause.getMessage())));
     }
 
@@ -144,7 +144,7 @@
         mCandidate.target().onEnded();
     }
 
-    private void fail(Refused why) {
+    private void fail(AttemptFailure why) {
         if (mFinished) {
             return;
         }
@@ -174,20 +174,20 @@
 
     void onEnd(End end) {
         if (!end.getError().isEmpty()) {
-            fail(Refused.failed(RefusalReason.BROKEN_ANSWER, end.getError()));
+            fail(AttemptFailure.failed(RefusalReason.BROKEN_ANSWER, end.getError()));
             return;
         }
         mEnd = end;
         mAssembler.onEnd(end.getFrameCount(), end.getChecksum());
         checkCompletion();
-        if (!mFinished && mAssembler.state() == AnswerAssembler.State.OPEN) {
+        if (!mFinished && mAssembler.state() == ResponseAssembler.State.OPEN) {
             resume();
         }
     }
 
     private void checkCompletion() {
         switch (mAssembler.state()) {
-            case WHOLE -> {
+            case COMPLETE -> {
                 finish();
                 mListener.onComplete(this, mEnd);
             }
@@ -195,7 +195,7 @@
                 cancel();
                 mListener.onFailed(
                         this,
-                        Refused.failed(
+                        AttemptFailure.failed(
                                 RefusalReason.BROKEN_ANSWER,
                                 "frames do not match the frame count or checksum of the end"));
             }
@@ -206,8 +206,8 @@
     }
 
     void onRefusal(Refusal r) {
-        Refused why =
-                new Refused(
+        AttemptFailure why =
+                new AttemptFailure(
                         OutcomeKind.valueOf(r.getKind()),
                         RefusalReason.valueOf(r.getReason()),
                         r.getRetryAfterMillis(),
@@ -227,7 +227,7 @@
     private void resume() {
         mAttempts.unregister(mStreamId);
         if (mResumes++ >= MAX_RESUMES) {
-            fail(Refused.mayHaveRun(RefusalReason.CUT));
+            fail(AttemptFailure.mayHaveRun(RefusalReason.CUT));
             return;
         }
         long delay = mResumes == 1 ? 1 : RESUME_DELAY_MILLIS << mResumes;
@@ -248,7 +248,7 @@
         if (mHeadReceived || mSubmit.getUnrepeatable()) {
             resume();
         } else {
-            fail(Refused.mayHaveRun(RefusalReason.CUT));
+            fail(AttemptFailure.mayHaveRun(RefusalReason.CUT));
         }
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
@@ -1,8 +1,8 @@
 package org.forkseam.daemon.router;
 
 import org.forkseam.core.claim.ClaimRow;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.daemon.sidecar.ClaimStore;
 
 import java.util.Optional;
@@ -20,16 +20,16 @@
     }
 
     /** Returns the given refusal, or "may have run" if the store has an active claim. */
-    CompletableFuture<Refused> confirmNotRun(CallerRequest request, Refused why) {
+    CompletableFuture<AttemptFailure> confirmNotRun(CallerRequest request, AttemptFailure why) {
         return mStore.read(ClaimStore.key(request.team(), request.id()))
                 .handle((claim, e) -> e == null ? reconcile(claim, why) : why);
     }
 
-    private static Refused reconcile(Optional<ClaimStore.Seen> claim, Refused why) {
+    private static AttemptFailure reconcile(Optional<ClaimStore.Seen> claim, AttemptFailure why) {
         boolean ran = claim.isPresent() && claim.get().row().state() != ClaimRow.State.ABANDONED;
         boolean otherRequest = why.reason() == RefusalReason.ID_REUSED;
         return ran && !otherRequest
-                ? Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE)
+                ? AttemptFailure.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE)
                         .withDetail(claim.get().row().owner())
                 : why;
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/QuotaLimiter.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/QuotaLimiter.java
@@ -1,6 +1,6 @@
 package org.forkseam.daemon.router;
 
-import org.forkseam.core.admit.QuotaShares;
+import org.forkseam.core.admit.QuotaAllocator;
 import org.forkseam.core.admit.TokenBucket;
 import org.forkseam.core.cfg.TeamSpec;
 import org.forkseam.core.route.TargetView;
@@ -53,7 +53,8 @@
         t.mArrivals++;
         int routers = Math.max(1, mFleet.view().routerCount());
         double evenShare = team.requestsPerSecond() / routers;
-        t.mBucket.set(t.rate(evenShare, nowMillis), Math.max(1, team.burst() / routers), nowMillis);
+        t.mBucket.reconfigure(
+                t.rate(evenShare, nowMillis), Math.max(1, team.burst() / routers), nowMillis);
         return t.mBucket.tryTake(nowMillis)
                 ? OptionalLong.empty()
                 : OptionalLong.of(t.mBucket.waitMillis(nowMillis));
@@ -72,7 +73,7 @@
             t.mArrivals = 0;
             t.mReportedAtMillis = nowMillis;
             double evenShare = mFleet.config().team(e.getKey()).requestsPerSecond() / routers;
-            if (t.mDemand > evenShare * QuotaShares.SILENT_SHARE * REPORT_THRESHOLD) {
+            if (t.mDemand > evenShare * QuotaAllocator.UNREPORTED_SHARE * REPORT_THRESHOLD) {
                 report(e.getKey(), t, nowMillis);
             } else {
                 t.mReportingSinceMillis = Long.MAX_VALUE;
@@ -98,7 +99,7 @@
     private Optional<TargetView> coordinator(String team, long nowMillis) {
         long key = Hashes.of(team);
         return mFleet.view().targets().stream()
-                .filter(t -> !t.isLeaving(nowMillis) && t.health().share(nowMillis) > 0)
+                .filter(t -> !t.isLeaving(nowMillis) && t.health().trafficShare(nowMillis) > 0)
                 .max(Comparator.comparingLong(t -> Hashes.mix(key, Hashes.of(t.name()))));
     }
 
@@ -135,14 +136,14 @@
         }
 
         double rate(double evenShare, long nowMillis) {
-            if (nowMillis - mGrantedAtMillis <= QuotaShares.GRANT_MILLIS) {
+            if (nowMillis - mGrantedAtMillis <= QuotaAllocator.GRANT_MILLIS) {
                 return mGrantedRate;
             }
             long since = Math.max(mReportingSinceMillis, mGrantedAtMillis);
             boolean unanswered =
                     mReportingSinceMillis != Long.MAX_VALUE
-                            && nowMillis - since > QuotaShares.GRANT_MILLIS;
-            return unanswered ? evenShare : evenShare * QuotaShares.SILENT_SHARE;
+                            && nowMillis - since > QuotaAllocator.GRANT_MILLIS;
+            return unanswered ? evenShare : evenShare * QuotaAllocator.UNREPORTED_SHARE;
         }
     }
 }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
@@ -9,9 +9,9 @@
 import io.activej.promise.SettablePromise;
 
 import org.forkseam.core.cfg.IntentSpec;
+import org.forkseam.core.outcome.AttemptFailure;
 import org.forkseam.core.outcome.OutcomeKind;
 import org.forkseam.core.outcome.RefusalReason;
-import org.forkseam.core.outcome.Refused;
 import org.forkseam.core.outcome.RetryAfter;
 import org.forkseam.core.outcome.RetryPolicy;
 import org.forkseam.core.route.Candidate;
@@ -65,7 +65,7 @@
     private boolean mStreaming;
     private boolean mFinished;
     private boolean mLeastLoadedTried;
-    private Refused mLastRefused = Refused.notRun(RefusalReason.NO_TARGET, 1_000);
+    private AttemptFailure mLastFailure = AttemptFailure.notRun(RefusalReason.NO_TARGET, 1_000);
 
     RequestFlow(RouterContext context, CallerRequest request, TcpSocket socket) {
         mSocket = socket;
@@ -96,7 +96,7 @@
         Optional<IntentSpec> intent = mContext.fleet().config().intentFor(labels);
         Optional<PoolView> pool = intent.flatMap(i -> mContext.fleet().view().pool(i.pool()));
         if (pool.isEmpty()) {
-            finish(Refused.notRun(RefusalReason.NO_INTENT, 0).withDetail(labels.toString()));
+            finish(AttemptFailure.notRun(RefusalReason.NO_INTENT, 0).withDetail(labels.toString()));
             return false;
         }
         mIntent = intent.get();
@@ -107,8 +107,8 @@
                         + mRequest.deadlineMillis().orElse(mPool.spec().deadline().toMillis());
         var wait = mContext.quotas().tryAcquire(team, mArrivedMillis);
         if (wait.isPresent()) {
-            long after = RetryAfter.spread(wait.getAsLong(), mContext.random());
-            finish(Refused.notRun(RefusalReason.OVER_QUOTA, after));
+            long after = RetryAfter.withJitter(wait.getAsLong(), mContext.random());
+            finish(AttemptFailure.notRun(RefusalReason.OVER_QUOTA, after));
             return false;
         }
         rank();
@@ -152,7 +152,7 @@
 
     private void startNextAttempt() {
         if (mAttempts >= MAX_ATTEMPTS || now() >= mDeadlineMillis) {
-            finish(now() >= mDeadlineMillis ? deadlineExceeded(mLastRefused) : mLastRefused);
+            finish(now() >= mDeadlineMillis ? deadlineExceeded(mLastFailure) : mLastFailure);
             return;
         }
         Optional<Candidate> c = mCandidateQueue.next(mPool, now());
@@ -160,31 +160,31 @@
             send(c.get(), mContext.digests().forTarget(mPool, c.get().target().name()));
             return;
         }
-        if (mLastRefused.reason() == RefusalReason.OVER_BOUND && !mLeastLoadedTried) {
+        if (mLastFailure.reason() == RefusalReason.OVER_BOUND && !mLeastLoadedTried) {
             mLeastLoadedTried = true;
             sendToLeastLoaded();
             return;
         }
-        finish(mLastRefused);
+        finish(mLastFailure);
     }
 
-    private static Refused deadlineExceeded(Refused last) {
+    private static AttemptFailure deadlineExceeded(AttemptFailure last) {
         return last.kind() == OutcomeKind.NOT_RUN
-                ? Refused.notRun(RefusalReason.DEADLINE, 0)
-                : Refused.mayHaveRun(RefusalReason.DEADLINE);
+                ? AttemptFailure.notRun(RefusalReason.DEADLINE, 0)
+                : AttemptFailure.mayHaveRun(RefusalReason.DEADLINE);
     }
 
     /** Submits to the least loaded usable target, telling it that all others refused. */
     private void sendToLeastLoaded() {
         TargetView best = null;
         for (TargetView t : mPool.targets()) {
-            boolean usable = !t.isLeaving(now()) && t.health().share(now()) > 0;
+            boolean usable = !t.isLeaving(now()) && t.health().trafficShare(now()) > 0;
             if (usable && (best == null || relativeLoad(t) < relativeLoad(best))) {
                 best = t;
             }
         }
         if (best == null) {
-            finish(mLastRefused);
+            finish(mLastFailure);
             return;
         }
         Candidate c =
@@ -245,7 +245,7 @@
     private void onDeadline() {
         if (!mFinished && mHead == null && mAttempt != null) {
             mAttempt.cancel();
-            finish(Refused.mayHaveRun(RefusalReason.DEADLINE));
+            finish(AttemptFailure.mayHaveRun(RefusalReason.DEADLINE));
         }
     }
 
@@ -358,7 +358,7 @@
     }
 
     @Override
-    public void onFailed(Attempt attempt, Refused why) {
+    public void onFailed(Attempt attempt, AttemptFailure why) {
         if (mFinished) {
             return;
         }
@@ -369,7 +369,7 @@
             t.health().onFailure(now());
             mCandidateQueue.onFailure(t);
         }
-        mLastRefused = why;
+        mLastFailure = why;
         mHead = null;
         mBuffered.reset();
         if (!why.owner().isEmpty()) {
@@ -393,14 +393,16 @@
     }
 
     /** Forwards the request to the target holding its claim, which alone knows its outcome. */
-    private void queryClaimOwner(Refused why) {
+    private void queryClaimOwner(AttemptFailure why) {
         Optional<TargetView> owner = mContext.fleet().view().target(why.owner());
         if (owner.isEmpty() || mAttempts >= MAX_ATTEMPTS) {
-            finish(Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE).withDetail(why.owner()));
+            finish(
+                    AttemptFailure.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE)
+                            .withDetail(why.owner()));
             return;
         }
         // If the owner is unreachable, the request may still have run there.
-        mLastRefused = Refused.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE);
+        mLastFailure = AttemptFailure.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE);
         mCandidateQueue = CandidateQueue.of(List.of());
         Candidate c = new Candidate(owner.get(), 0, 0, 0, 0, Candidate.Reason.UNSCORED);
         send(c, List.of());
@@ -409,7 +411,7 @@
     // ---------------------------------------------------------------- response
 
     /** Ends the request with an error response. */
-    private void finish(Refused why) {
+    private void finish(AttemptFailure why) {
         if (mFinished) {
             return;
         }
@@ -423,7 +425,7 @@
         }
     }
 
-    private void respond(Refused why) {
+    private void respond(AttemptFailure why) {
         recordDecision("final " + why.kind() + " " + why.reason(), "");
         mContext.counters().onOutcome(why.kind());
         if (!mStreaming) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseManager.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseManager.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 
+import org.forkseam.core.lease.LeaseElector;
 import org.forkseam.core.lease.LeaseRow;
-import org.forkseam.core.lease.LeaseWatch;
 import org.forkseam.core.member.HostEntry;
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.Hashes;
@@ -37,7 +37,7 @@
     private final String mName;
     private final TableService mTable;
     private final Clock mClock;
-    private final LeaseWatch mWatch;
+    private final LeaseElector mElector;
     private long mNextAttemptMillis;
     private boolean mRequestPending;
 
@@ -45,7 +45,7 @@
         mName = name;
         mTable = table;
         mClock = clock;
-        mWatch = LeaseWatch.of(host, TTL_MILLIS);
+        mElector = LeaseElector.of(host, TTL_MILLIS);
     }
 
     /** Creates a manager of one lease for one daemon. */
@@ -86,29 +86,29 @@
             return;
         }
         long revision = row.map(Row::revision).orElse(0L);
-        LeaseWatch.Step step =
-                mWatch.onRead(row.map(LeaseManager::fromRow), revision, mClock.nowMillis());
-        if (step == LeaseWatch.Step.WAIT) {
+        LeaseElector.Step step =
+                mElector.onRead(row.map(LeaseManager::fromRow), revision, mClock.nowMillis());
+        if (step == LeaseElector.Step.WAIT) {
             mRequestPending = false;
             return;
         }
         Write w =
-                step == LeaseWatch.Step.INSERT
-                        ? Write.insert(key(mName), toJson(mWatch.next()))
-                        : Write.replace(key(mName), toJson(mWatch.next()), revision);
+                step == LeaseElector.Step.INSERT
+                        ? Write.insert(key(mName), toJson(mElector.next()))
+                        : Write.replace(key(mName), toJson(mElector.next()), revision);
         mTable.transact(List.of(w)).thenAccept(this::onWritten);
     }
 
     private void onWritten(TxnResult result) {
         mRequestPending = false;
         if (result instanceof TxnResult.Applied a) {
-            mWatch.onWritten(a.revision());
+            mElector.onWritten(a.revision());
         }
     }
 
     /** Returns the fencing token if this daemon currently holds the lease. */
     public Optional<Long> fence() {
-        return mWatch.fence(mClock.nowMillis());
+        return mElector.fence(mClock.nowMillis());
     }
 
     /** Parses a lease row. */
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/Attempt.java
@@ -70,7 +70,7 @@
 
     /** Acquires a connection and sends the request. */
     void start(long maxIdleMillis) {
-        mTarget.onSent(mStarted);
+        mTarget.onRequestSent(mStarted);
         mContext.targetConnections().pool(mTarget).acquire(maxIdleMillis, this);
     }
 
@@ -80,7 +80,7 @@
             return;
         }
         mEnded = true;
-        mTarget.onEnded();
+        mTarget.onRequestEnded();
         if (isSent()
                 && mLastReceivedAt == 0
                 && mContext.now() - mSentAt > SILENT_CONNECTION_MILLIS) {
@@ -170,7 +170,7 @@
                     "connection was closed before the request was sent");
             return;
         }
-        if (!mTarget.takesWork(now)) {
+        if (!mTarget.acceptsRequests(now)) {
             endUnsent(
                     AttemptResult.Kind.WITHDRAWN,
                     "target stopped accepting requests before the request was sent");
@@ -214,7 +214,7 @@
         mHeadAt = mContext.now();
         mHead = head;
         mContext.knowledge().signals().onAnswer(mTarget, mDecodedHead);
-        mDecodedHead.load().ifPresent(l -> mTarget.onLoad(l, mContext.now()));
+        mDecodedHead.load().ifPresent(l -> mTarget.onLoadReported(l, mContext.now()));
         mDecodedHead
                 .keepAliveMillis()
                 .ifPresent(k -> mConnection.limitIdleMillis(k - idleMarginMillis(k)));
@@ -227,7 +227,7 @@
 
     private void onReceived() {
         mLastReceivedAt = mContext.now();
-        mTarget.onHeard(mLastReceivedAt);
+        mTarget.onDataReceived(mLastReceivedAt);
     }
 
     @Override
@@ -329,7 +329,7 @@
             return;
         }
         mEnded = true;
-        mTarget.onEnded();
+        mTarget.onRequestEnded();
         mListener.onAttemptEnded(this, result);
     }
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetConnections.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetConnections.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.flow;
 
 import org.forkseam.core.member.Target;
-import org.forkseam.core.member.TargetStart;
+import org.forkseam.core.member.TargetIncarnation;
 import org.forkseam.core.traffic.Pool;
 import org.forkseam.core.util.Clock;
 import org.forkseam.direct.io.ConnectionPool;
@@ -22,7 +22,7 @@
 
     private final Connector mConnector;
     private final Clock mClock;
-    private final Map<TargetStart, ConnectionPool> mPools = new HashMap<>();
+    private final Map<TargetIncarnation, ConnectionPool> mPools = new HashMap<>();
 
     TargetConnections(Connector connector, Clock clock) {
         mConnector = connector;
@@ -32,7 +32,7 @@
     /** Returns the connection pool of a target. */
     ConnectionPool pool(Target t) {
         return mPools.computeIfAbsent(
-                t.start(), s -> ConnectionPool.of(mConnector, mClock, t.entry().address()));
+                t.incarnation(), s -> ConnectionPool.of(mConnector, mClock, t.entry().address()));
     }
 
     /** Limits the connections to a target to this router's share of the target's limit. */
@@ -47,17 +47,17 @@
      * Closes connections that were idle for too long, all idle connections to leaving targets, and
      * all idle connections to unknown targets.
      */
-    void closeUnused(Map<TargetStart, Target> known) {
-        Iterator<Map.Entry<TargetStart, ConnectionPool>> i = mPools.entrySet().iterator();
+    void closeUnused(Map<TargetIncarnation, Target> known) {
+        Iterator<Map.Entry<TargetIncarnation, ConnectionPool>> i = mPools.entrySet().iterator();
         while (i.hasNext()) {
-            Map.Entry<TargetStart, ConnectionPool> e = i.next();
+            Map.Entry<TargetIncarnation, ConnectionPool> e = i.next();
             Target t = known.get(e.getKey());
             if (t == null) {
                 e.getValue().close();
                 i.remove();
                 continue;
             }
-            e.getValue().closeIdle(t.stays() ? MAX_IDLE_MILLIS : 0);
+            e.getValue().closeIdle(t.isPoolMember() ? MAX_IDLE_MILLIS : 0);
         }
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerMessage.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerMessage.java
@@ -1,12 +1,12 @@
 package org.forkseam.direct.know;
 
-import org.forkseam.core.crash.CrashFact;
+import org.forkseam.core.crash.CrashEvent;
 import org.forkseam.core.member.Evacuations;
 import org.forkseam.core.share.LoadReading;
 import org.forkseam.core.share.PromptHolder;
 import org.forkseam.core.share.TargetListDelta;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.core.traffic.ConfigChange;
 import org.forkseam.direct.spi.SharedRow;
 
@@ -47,8 +47,8 @@
             long fingerprint,
             List<String> evacuated)
             implements PeerMessage {
-        StoreTime readTime() {
-            return StoreTime.of(position.era(), readAt);
+        StoreTimestamp readTime() {
+            return StoreTimestamp.of(position.era(), readAt);
         }
 
         @Override
@@ -115,8 +115,8 @@
             return until.equals(StorePosition.NONE);
         }
 
-        StoreTime readTime() {
-            return StoreTime.of(until.era(), readAt);
+        StoreTimestamp readTime() {
+            return StoreTimestamp.of(until.era(), readAt);
         }
 
         @Override
@@ -138,7 +138,7 @@
     record Observations(
             List<LoadReading> loads,
             List<PromptHolder> holders,
-            List<CrashFact> crashes,
+            List<CrashEvent> crashes,
             List<Integer> leaving)
             implements PeerMessage {}
 }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/Quarantine.java
@@ -1,7 +1,7 @@
 package org.forkseam.direct.know;
 
-import org.forkseam.core.crash.CrashFact;
-import org.forkseam.core.crash.CrashSuspects;
+import org.forkseam.core.crash.CrashEvent;
+import org.forkseam.core.crash.PoisonRequestDetector;
 import org.forkseam.core.crash.QuarantineTerm;
 import org.forkseam.core.share.GossipQueue;
 import org.forkseam.core.util.Hashes;
@@ -43,9 +43,9 @@
     private final RowFollower mFollower;
     private final QuarantineRows mRows;
     private final SuspectRows mSuspectRows;
-    private final CrashSuspects mSuspects = CrashSuspects.create();
-    private final GossipQueue<CrashFact> mCrashExchange =
-            GossipQueue.of(CrashFact.MAX_FACTS, f -> mSuspects.crashes(f.content()));
+    private final PoisonRequestDetector mSuspects = PoisonRequestDetector.create();
+    private final GossipQueue<CrashEvent> mCrashExchange =
+            GossipQueue.of(CrashEvent.MAX_PER_MESSAGE, f -> mSuspects.crashCount(f.content()));
     private int mWriteFailures;
 
     /** Decision on a request. */
@@ -76,18 +76,18 @@
     public Verdict verdict(long content) {
         Optional<QuarantineTerm> term = mRows.term(content);
         if (term.isEmpty()) {
-            return mSuspects.isConvicted(content) ? Verdict.REFUSE : Verdict.SERVE;
+            return mSuspects.isPoison(content) ? Verdict.REFUSE : Verdict.SERVE;
         }
         OptionalLong now = mFollower.storeMillis();
-        boolean isOver = now.isPresent() && !term.get().isRunning(now.getAsLong());
+        boolean isOver = now.isPresent() && !term.get().isActive(now.getAsLong());
         return isOver ? Verdict.TRY : Verdict.REFUSE;
     }
 
     /** Returns the time after which a refused caller should retry, in milliseconds. */
     public long retryAfterMillis(long content) {
         long now = mFollower.storeMillis().orElse(0);
-        QuarantineTerm term = mRows.term(content).orElse(QuarantineTerm.first(now));
-        return Math.max(1, term.leftMillis(now));
+        QuarantineTerm term = mRows.term(content).orElse(QuarantineTerm.initial(now));
+        return Math.max(1, term.remainingMillis(now));
     }
 
     /** Requests the trial of a request whose term has ended; one router at a time is granted it. */
@@ -97,7 +97,7 @@
         if (term.isEmpty() || now.isEmpty()) {
             return CompletableFuture.completedFuture(false); // row or clock unknown
         }
-        QuarantineTerm tried = term.get().tried(now.getAsLong(), peers().host());
+        QuarantineTerm tried = term.get().withProbe(now.getAsLong(), peers().host());
         return mRows.write(content, tried)
                 .exceptionally(e -> false) // logged by the callee
                 .whenComplete(
@@ -121,7 +121,7 @@
 
     /** Records a crash of a target, observed by this router, while it was processing a request. */
     public void onCrash(long content, int crash) {
-        CrashFact fact = new CrashFact(content, crash);
+        CrashEvent fact = new CrashEvent(content, crash);
         if (recordCrash(fact)) {
             mCrashExchange.add(fact);
             onCrashRecorded(content, true);
@@ -146,7 +146,7 @@
         if (observedHere) {
             mCrashExchange.removeIf(f -> f.content() == content);
         }
-        mCrashExchange.add(CrashFact.answered(content));
+        mCrashExchange.add(CrashEvent.answered(content));
         if (wasRefused) {
             release(content, observedHere);
         }
@@ -154,7 +154,7 @@
 
     /** Returns whether one more crash leads to the refusal of a request. */
     public boolean isOneCrashFromConviction(long content) {
-        return mSuspects.crashes(content) == CrashSuspects.CRASHES_TO_CONVICT - 1;
+        return mSuspects.crashCount(content) == PoisonRequestDetector.CRASH_THRESHOLD - 1;
     }
 
     /** Returns the refused requests with their remaining time in milliseconds. */
@@ -169,19 +169,19 @@
 
     /** Returns the number of requests with at least one crash, without the refused ones. */
     int suspects() {
-        return mSuspects.size();
+        return mSuspects.suspectCount();
     }
 
     // ---------------------------------------------------------------- other routers
 
     /** Returns the crashes and answers to send to another router. */
-    List<CrashFact> digest() {
+    List<CrashEvent> digest() {
         return mCrashExchange.nextBatch();
     }
 
     /** Applies another router's crashes and answers. */
-    void apply(List<CrashFact> facts) {
-        for (CrashFact f : facts) {
+    void apply(List<CrashEvent> facts) {
+        for (CrashEvent f : facts) {
             if (f.isAnswered()) {
                 acquit(f.content(), false);
             } else if (recordCrash(f)) {
@@ -192,22 +192,22 @@
     }
 
     /** Records a crash and returns whether it was new. */
-    private boolean recordCrash(CrashFact f) {
-        return mRows.term(f.content()).isEmpty() && mSuspects.take(f, now());
+    private boolean recordCrash(CrashEvent f) {
+        return mRows.term(f.content()).isEmpty() && mSuspects.onEvent(f, now());
     }
 
     private void onCrashRecorded(long content, boolean observedHere) {
-        if (mSuspects.isConvicted(content)) {
+        if (mSuspects.isPoison(content)) {
             onConvicted(content, observedHere);
         } else if (observedHere && isOneCrashFromConviction(content)) {
-            mSuspectRows.write(content, mSuspects.of(content));
+            mSuspectRows.write(content, mSuspects.events(content));
         }
     }
 
     private void onConvicted(long content, boolean observedHere) {
         Event.always("request_convicted")
                 .with("content", Hashes.toHex(content))
-                .with("crashes", mSuspects.crashes(content))
+                .with("crashes", mSuspects.crashCount(content))
                 .with("saw_last", observedHere)
                 .log();
         schedule(writeDelayMillis(observedHere), () -> writeConviction(content));
@@ -242,7 +242,7 @@
     /**
      * Applies a crash from a row. Not passed on to other routers, which read the row themselves.
      */
-    private void applySuspect(CrashFact f) {
+    private void applySuspect(CrashEvent f) {
         if (recordCrash(f)) {
             onCrashRecorded(f.content(), false);
         }
@@ -256,14 +256,15 @@
                 .with("content", Hashes.toHex(c.content()))
                 .with("term_ms", c.term().map(QuarantineTerm::termMillis).orElse(0L))
                 .log();
-        if (mRows.term(c.content()).isPresent() && mSuspects.wasAnswered(c.content(), now())) {
+        if (mRows.term(c.content()).isPresent()
+                && mSuspects.wasAnsweredRecently(c.content(), now())) {
             release(c.content(), false); // the answer preceded the row
         }
     }
 
     /** Writes the row of a convicted request unless another router has done so. */
     private void writeConviction(long content) {
-        if (isStopped() || !mSuspects.isConvicted(content)) {
+        if (isStopped() || !mSuspects.isPoison(content)) {
             return;
         }
         OptionalLong now = mFollower.storeMillis();
@@ -271,7 +272,7 @@
             retryWriteConviction(content);
             return;
         }
-        mRows.write(content, QuarantineTerm.first(now.getAsLong()))
+        mRows.write(content, QuarantineTerm.initial(now.getAsLong()))
                 .whenComplete(
                         (own, failure) -> {
                             if (failure == null) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/QuarantineRows.java
@@ -81,7 +81,7 @@
     /** Returns the refused requests with their remaining time in milliseconds. */
     Map<String, Long> dump(long storeMillis) {
         Map<String, Long> m = new TreeMap<>();
-        mCache.forEach((c, r) -> m.put(Hashes.toHex(c), r.term().leftMillis(storeMillis)));
+        mCache.forEach((c, r) -> m.put(Hashes.toHex(c), r.term().remainingMillis(storeMillis)));
         return m;
     }
 
@@ -93,7 +93,7 @@
             return Optional.empty();
         }
         Optional<Long> content = ROW_KEY.contentOf(row.key());
-        Optional<QuarantineTerm> term = QuarantineTerm.read(row.value());
+        Optional<QuarantineTerm> term = QuarantineTerm.parse(row.value());
         if (content.isEmpty() || row.exists() && term.isEmpty()) {
             Event.of("quarantine_row_malformed").with("row", row.key()).log();
             return Optional.empty();
@@ -128,10 +128,10 @@
         }
         evictIfFull(content);
         StorePosition expected = mFollower.position(ROW_KEY.keyOf(content));
-        return mRows.compareAndSet(ROW_KEY.keyOf(content), term.write(), expected)
+        return mRows.compareAndSet(ROW_KEY.keyOf(content), term.format(), expected)
                 .whenComplete((row, failure) -> mPendingWrites.remove(content))
                 .whenComplete((row, failure) -> logFailure(content, failure))
-                .thenApply(row -> applyWritten(row, row.value().equals(term.write())));
+                .thenApply(row -> applyWritten(row, row.value().equals(term.format())));
     }
 
     /**
@@ -162,7 +162,7 @@
     /** Removes the rows whose terms have expired. */
     void sweep(long storeMillis) {
         for (Map.Entry<Long, Row> e : List.copyOf(mCache.entrySet())) {
-            if (e.getValue().term().isOver(storeMillis)) {
+            if (e.getValue().term().isExpired(storeMillis)) {
                 remove(e.getKey());
             }
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetObservations.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetObservations.java
@@ -1,6 +1,6 @@
 package org.forkseam.direct.know;
 
-import org.forkseam.core.crash.CrashFact;
+import org.forkseam.core.crash.CrashEvent;
 import org.forkseam.core.member.Target;
 import org.forkseam.core.member.TargetDirectory;
 import org.forkseam.core.route.PromptHolderIndex;
@@ -44,7 +44,7 @@
      * @param known whether all routers infer this from the seats, so that it need not be sent
      */
     void onAnswered(long key, Target t, boolean known) {
-        boolean isNew = mHolders.onAnswered(key, t.start(), mClock.nowMillis());
+        boolean isNew = mHolders.onAnswered(key, t.incarnation(), mClock.nowMillis());
         if (isNew && !known) {
             mHolderExchange.add(new PromptHolder(key, t.shortHash()));
         }
@@ -54,7 +54,7 @@
     Optional<PeerMessage> digest() {
         List<LoadReading> loads = LoadGossip.newestReadings(mTargets.all(), mClock.nowMillis());
         List<PromptHolder> holders = mHolderExchange.nextBatch();
-        List<CrashFact> crashes = mQuarantine.digest();
+        List<CrashEvent> crashes = mQuarantine.digest();
         List<Integer> leaving = mSignals.digest();
         return loads.isEmpty() && holders.isEmpty() && crashes.isEmpty() && leaving.isEmpty()
                 ? Optional.empty()
@@ -72,7 +72,7 @@
     }
 
     private void applyHolder(PromptHolder f, Target t) {
-        if (mHolders.onAnswered(f.key(), t.start(), mClock.nowMillis())) {
+        if (mHolders.onAnswered(f.key(), t.incarnation(), mClock.nowMillis())) {
             mHolderExchange.add(f);
         }
     }
