--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderHandler.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderHandler.java
@@ -78,7 +78,7 @@
         }
         // A previous incarnation of this sidecar may have accepted a newer fence.
         return mTable.get(LeaseManager.key(order.getDeployment()))
-                .handle((row, e) -> e == null ? recordFence(guard, row) : false)
+                .handle((row, e) -> e == null ? initializeFence(guard, row) : false)
                 .thenCompose(
                         known ->
                                 known
@@ -89,7 +89,7 @@
                                                 "cannot read the current fence"));
     }
 
-    private static boolean recordFence(FenceGuard guard, Optional<Row> row) {
+    private static boolean initializeFence(FenceGuard guard, Optional<Row> row) {
         guard.initialize(row.map(r -> LeaseManager.fromRow(r).fence()).orElse(0L));
         return true;
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestFlow.java
@@ -96,7 +96,9 @@
         Optional<IntentSpec> intent = mContext.fleet().config().intentFor(labels);
         Optional<PoolView> pool = intent.flatMap(i -> mContext.fleet().view().pool(i.pool()));
         if (pool.isEmpty()) {
-            finish(AttemptFailure.notRun(RefusalReason.NO_INTENT, 0).withDetail(labels.toString()));
+            finishWithFailure(
+                    AttemptFailure.notRun(RefusalReason.NO_INTENT, 0)
+                            .withDetail(labels.toString()));
             return false;
         }
         mIntent = intent.get();
@@ -108,7 +110,7 @@
         var wait = mContext.quotas().tryAcquire(team, mArrivedMillis);
         if (wait.isPresent()) {
             long after = RetryAfter.withJitter(wait.getAsLong(), mContext.random());
-            finish(AttemptFailure.notRun(RefusalReason.OVER_QUOTA, after));
+            finishWithFailure(AttemptFailure.notRun(RefusalReason.OVER_QUOTA, after));
             return false;
         }
         rank();
@@ -152,7 +154,8 @@
 
     private void startNextAttempt() {
         if (mAttempts >= MAX_ATTEMPTS || now() >= mDeadlineMillis) {
-            finish(now() >= mDeadlineMillis ? deadlineExceeded(mLastFailure) : mLastFailure);
+            finishWithFailure(
+                    now() >= mDeadlineMillis ? deadlineExceeded(mLastFailure) : mLastFailure);
             return;
         }
         Optional<Candidate> c = mCandidateQueue.next(mPool, now());
@@ -165,7 +168,7 @@
             sendToLeastLoaded();
             return;
         }
-        finish(mLastFailure);
+        finishWithFailure(mLastFailure);
     }
 
     private static AttemptFailure deadlineExceeded(AttemptFailure last) {
@@ -184,7 +187,7 @@
             }
         }
         if (best == null) {
-            finish(mLastFailure);
+            finishWithFailure(mLastFailure);
             return;
         }
         Candidate c =
@@ -245,7 +248,7 @@
     private void onDeadline() {
         if (!mFinished && mHead == null && mAttempt != null) {
             mAttempt.cancel();
-            finish(AttemptFailure.mayHaveRun(RefusalReason.DEADLINE));
+            finishWithFailure(AttemptFailure.mayHaveRun(RefusalReason.DEADLINE));
         }
     }
 
@@ -377,12 +380,12 @@
             return;
         }
         if (!RetryPolicy.maySafelyRetry(why, mRequest.unrepeatable(), mStreaming)) {
-            finish(why);
+            finishWithFailure(why);
             return;
         }
         if (RetryPolicy.spendsBudget(why)) {
             if (!mContext.budget().tryRetry()) {
-                finish(why.withDetail(RefusalReason.NO_BUDGET.text()));
+                finishWithFailure(why.withDetail(RefusalReason.NO_BUDGET.text()));
                 return;
             }
             mContext.counters().onRetry();
@@ -396,7 +399,7 @@
     private void queryClaimOwner(AttemptFailure why) {
         Optional<TargetView> owner = mContext.fleet().view().target(why.owner());
         if (owner.isEmpty() || mAttempts >= MAX_ATTEMPTS) {
-            finish(
+            finishWithFailure(
                     AttemptFailure.mayHaveRun(RefusalReason.CLAIMED_ELSEWHERE)
                             .withDetail(why.owner()));
             return;
@@ -411,7 +414,7 @@
     // ---------------------------------------------------------------- response
 
     /** Ends the request with an error response. */
-    private void finish(AttemptFailure why) {
+    private void finishWithFailure(AttemptFailure why) {
         if (mFinished) {
             return;
         }
@@ -429,7 +432,7 @@
         recordDecision("final " + why.kind() + " " + why.reason(), "");
         mContext.counters().onOutcome(why.kind());
         if (!mStreaming) {
-            mResponse.set(addCommonHeaders(Responses.refused(why)).build());
+            mResponse.set(addCommonHeaders(Responses.failure(why)).build());
             onFinished();
             return;
         }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Responses.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Responses.java
@@ -50,7 +50,7 @@
     }
 
     /** Builds the response to a request that was refused or failed. */
-    static HttpResponse.Builder refused(AttemptFailure r) {
+    static HttpResponse.Builder failure(AttemptFailure r) {
         int status = r.reason().status();
         if (r.kind() != OutcomeKind.NOT_RUN && status == SERVICE_UNAVAILABLE) {
             status = BAD_GATEWAY; // 503 would imply that the request has not run
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
@@ -310,12 +310,12 @@
         mCounters.onMalformed();
         AttemptFailure r = AttemptFailure.failed(RefusalReason.BROKEN_ANSWER, "internal error");
         if (e instanceof IOException) {
-            return Responses.refused(r).toPromise(); // the connection is already closed
+            return Responses.failure(r).toPromise(); // the connection is already closed
         }
         if (e instanceof HttpException) {
             return Responses.error(400, "bad_request", "malformed HTTP request").toPromise();
         }
         LOG.error("event=request-failed", e);
-        return Responses.refused(r).toPromise();
+        return Responses.failure(r).toPromise();
     }
 }
