--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
@@ -9,10 +9,10 @@
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
 import org.forkseam.daemon.admin.AdminApi;
-import org.forkseam.daemon.admin.Explainer;
+import org.forkseam.daemon.admin.DecisionExplainer;
 import org.forkseam.daemon.cfg.SettingKey;
 import org.forkseam.daemon.cfg.Settings;
-import org.forkseam.daemon.net.Links;
+import org.forkseam.daemon.net.LinkManager;
 import org.forkseam.daemon.orders.OrderHandler;
 import org.forkseam.daemon.orders.RolloutController;
 import org.forkseam.daemon.router.Router;
@@ -21,9 +21,9 @@
 import org.forkseam.daemon.share.ConfigWriter;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
-import org.forkseam.daemon.sidecar.CacheWatch;
+import org.forkseam.daemon.sidecar.CacheLifetimeEstimator;
+import org.forkseam.daemon.sidecar.ClaimManager;
 import org.forkseam.daemon.sidecar.ClaimStore;
-import org.forkseam.daemon.sidecar.Claims;
 import org.forkseam.daemon.sidecar.HttpTargetClient;
 import org.forkseam.daemon.sidecar.Sidecar;
 import org.forkseam.daemon.sidecar.SidecarCounters;
@@ -69,7 +69,7 @@
     private final Fleet mFleet = new Fleet();
     private final Http mHttp;
     private final HttpTableService mTable;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final FleetSync mSync;
     private final ConfigStore mConfigStore;
     private Router mRouter;
@@ -82,13 +82,16 @@
         mRandom = random;
         mIncarnation = mClock.nowMillis();
         mLoop = Eventloop.builder().withThreadName("loop-" + host()).build();
-        mKernel = ServiceManager.of(settings.integer(SettingKey.STOP_MILLIS));
-        mHttp = Http.of(mLoop, Duration.ofMillis(settings.integer(SettingKey.PLATFORM_MILLIS)));
+        mKernel = ServiceManager.of(settings.integer(SettingKey.DRAIN_TIMEOUT_MILLIS));
+        mHttp =
+                Http.of(
+                        mLoop,
+                        Duration.ofMillis(settings.integer(SettingKey.PLATFORM_TIMEOUT_MILLIS)));
         mTable = HttpTableService.of(mHttp, settings.text(SettingKey.TABLE_SERVICE));
         mConfigStore =
                 ConfigStore.of(
                         mTable, HttpObjectStore.of(mHttp, settings.text(SettingKey.OBJECT_STORE)));
-        mLinks = Links.of(mLoop, wireSettings(), settings.address(SettingKey.WIRE_LISTEN));
+        mLinks = LinkManager.of(mLoop, wireSettings(), settings.address(SettingKey.WIRE_LISTEN));
         mSync = sync();
         addServices();
     }
@@ -135,8 +138,8 @@
                         mConfigStore,
                         mLinks),
                 new FleetSync.PollIntervals(
-                        mSettings.integer(SettingKey.HOST_LIST_MILLIS),
-                        mSettings.integer(SettingKey.CONFIG_MILLIS)),
+                        mSettings.integer(SettingKey.HOST_LIST_INTERVAL_MILLIS),
+                        mSettings.integer(SettingKey.CONFIG_INTERVAL_MILLIS)),
                 host(),
                 mRandom);
     }
@@ -186,7 +189,7 @@
                         mIncarnation,
                         mSettings.address(SettingKey.CALLERS_LISTEN),
                         mSettings.integer(SettingKey.MAX_BODY_BYTES),
-                        Duration.ofMillis(mSettings.integer(SettingKey.REQUEST_MILLIS)),
+                        Duration.ofMillis(mSettings.integer(SettingKey.REQUEST_TIMEOUT_MILLIS)),
                         mSettings.text(SettingKey.TICKET_KEY),
                         mSettings.text(SettingKey.PLACEMENT));
         Router.Dependencies dependencies =
@@ -202,22 +205,22 @@
                         target,
                         mSettings.integer(SettingKey.TARGET_CAPACITY),
                         mIncarnation,
-                        mSettings.integer(SettingKey.ANSWERS_BYTES));
-        Sidecar.Parts parts =
-                new Sidecar.Parts(
+                        mSettings.integer(SettingKey.RETAINED_RESPONSE_BYTES));
+        Sidecar.Dependencies dependencies =
+                new Sidecar.Dependencies(
                         mFleet,
                         mSync,
                         mLinks,
                         HttpTargetClient.of(mLoop, mSettings.text(SettingKey.TARGET_URL)),
-                        Claims.of(ClaimStore.of(mLoop, mTable), target, mIncarnation),
-                        cacheWatch(),
+                        ClaimManager.of(ClaimStore.of(mLoop, mTable), target, mIncarnation),
+                        cacheLifetimeEstimator(),
                         SidecarCounters.of(mRegistry));
         if (isEngine()) {
             String url = mSettings.text(SettingKey.TARGET_URL);
-            mLinks.addSink(OrderHandler.of(mHttp, url, mTable, mSync::packet));
+            mLinks.addListener(OrderHandler.of(mHttp, url, mTable, mSync::packet));
         }
-        Sidecar s = Sidecar.of(mLoop, mClock, config, parts, mRandom);
-        mRegistry.gauge("forkseam.target.load", s, x -> x.gate().load());
+        Sidecar s = Sidecar.of(mLoop, mClock, config, dependencies, mRandom);
+        mRegistry.gauge("forkseam.target.load", s, x -> x.admission().load());
         return s;
     }
 
@@ -226,12 +229,12 @@
     }
 
     /** Only engines have a cache to watch; other services receive only requests of callers. */
-    private Optional<CacheWatch> cacheWatch() {
+    private Optional<CacheLifetimeEstimator> cacheLifetimeEstimator() {
         if (!isEngine()) {
             return Optional.empty();
         }
         String url = mSettings.text(SettingKey.TARGET_URL);
-        return Optional.of(CacheWatch.of(mLoop, mHttp, url, mClock));
+        return Optional.of(CacheLifetimeEstimator.of(mLoop, mHttp, url, mClock));
     }
 
     private AdminApi admin(DecisionLog decisions) {
@@ -240,8 +243,8 @@
                         host(),
                         mSettings.address(SettingKey.OPERATORS_LISTEN),
                         mSettings.text(SettingKey.OPERATORS_KEY));
-        AdminApi.Parts parts =
-                new AdminApi.Parts(
+        AdminApi.Dependencies dependencies =
+                new AdminApi.Dependencies(
                         mFleet,
                         mSync,
                         ConfigWriter.of(mFleet, mSync, mConfigStore, mClock),
@@ -250,7 +253,11 @@
                         this::isReady,
                         mRegistry.counter("forkseam.admin.unauthorized")::increment);
         return AdminApi.of(
-                mLoop, mClock, config, parts, Explainer.of(host(), mFleet, mSync, decisions));
+                mLoop,
+                mClock,
+                config,
+                dependencies,
+                DecisionExplainer.of(host(), mFleet, mSync, decisions));
     }
 
     // ---------------------------------------------------------------- life-cycle
@@ -298,7 +305,7 @@
 
     /** Closes all links to other daemons to simulate a network failure; for tests. */
     public void closeLinks() {
-        mLoop.execute(() -> mLinks.open().forEach(Link::close));
+        mLoop.execute(() -> mLinks.openLinks().forEach(Link::close));
     }
 
     private static void closeChannel(Channel channel) {
@@ -312,7 +319,7 @@
     // ---------------------------------------------------------------- accessors
 
     private boolean isReady() {
-        return mRouter == null ? !mSidecar.gate().isLeaving() : mRouter.isReady();
+        return mRouter == null ? !mSidecar.admission().isLeaving() : mRouter.isReady();
     }
 
     private Map<String, Object> dump() {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/AttemptRegistry.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/AttemptRegistry.java
@@ -3,8 +3,8 @@
 import io.activej.eventloop.Eventloop;
 
 import org.forkseam.core.util.Clock;
-import org.forkseam.daemon.net.Links;
-import org.forkseam.daemon.net.PacketSink;
+import org.forkseam.daemon.net.LinkManager;
+import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.forkseam.wire.Link;
@@ -22,7 +22,7 @@
 /**
  * Dispatches packets from sidecars to open attempts. Not thread-safe: used on the event loop only.
  */
-final class AttemptRegistry implements PacketSink {
+final class AttemptRegistry implements PacketListener {
     /** Silence after which a sidecar with open attempts is considered unresponsive. */
     private static final long SIDECAR_SILENCE_TIMEOUT_MILLIS = 4_000;
 
@@ -30,11 +30,11 @@
     private final Clock mClock;
     private final Fleet mFleet;
     private final FleetSync mSync;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final Map<Long, Attempt> mOpen = new HashMap<>();
     private long mNextStreamId = 1;
 
-    AttemptRegistry(Eventloop loop, Clock clock, Fleet fleet, FleetSync sync, Links links) {
+    AttemptRegistry(Eventloop loop, Clock clock, Fleet fleet, FleetSync sync, LinkManager links) {
         mLoop = loop;
         mClock = clock;
         mFleet = fleet;
@@ -65,7 +65,7 @@
     }
 
     void connect(String address, Consumer<Link> opened, Consumer<Throwable> failed) {
-        mLinks.to(address)
+        mLinks.connect(address)
                 .whenComplete(
                         (link, e) -> {
                             if (e == null) {
@@ -105,7 +105,7 @@
                 find(link, p.getRefusal().getStream()).ifPresent(a -> a.onRefusal(p.getRefusal()));
             }
             default -> {
-                // Handled by other sinks.
+                // Handled by other listeners.
             }
         }
     }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
@@ -25,7 +25,8 @@
                 .handle((claim, e) -> e == null ? reconcile(claim, why) : why);
     }
 
-    private static AttemptFailure reconcile(Optional<ClaimStore.Seen> claim, AttemptFailure why) {
+    private static AttemptFailure reconcile(
+            Optional<ClaimStore.VersionedClaim> claim, AttemptFailure why) {
         boolean ran = claim.isPresent() && claim.get().row().state() != ClaimRow.State.ABANDONED;
         boolean otherRequest = why.reason() == RefusalReason.ID_REUSED;
         return ran && !otherRequest
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/QuotaLimiter.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/QuotaLimiter.java
@@ -5,8 +5,8 @@
 import org.forkseam.core.cfg.TeamSpec;
 import org.forkseam.core.route.TargetView;
 import org.forkseam.core.util.Hashes;
-import org.forkseam.daemon.net.Links;
-import org.forkseam.daemon.net.PacketSink;
+import org.forkseam.daemon.net.LinkManager;
+import org.forkseam.daemon.net.PacketListener;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.forkseam.wire.Link;
@@ -28,17 +28,17 @@
  * team name, which divides the quota among the reporting routers. If no grant arrives within the
  * lifetime of a grant, the router uses its even share.
  */
-final class QuotaLimiter implements PacketSink {
+final class QuotaLimiter implements PacketListener {
     private static final long REPORT_INTERVAL_MILLIS = 1_000;
     private static final double DEMAND_SMOOTHING = 0.5;
     private static final double REPORT_THRESHOLD = 0.5;
 
     private final Fleet mFleet;
     private final FleetSync mSync;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final Map<String, TeamState> mTeams = new HashMap<>();
 
-    QuotaLimiter(Fleet fleet, FleetSync sync, Links links) {
+    QuotaLimiter(Fleet fleet, FleetSync sync, LinkManager links) {
         mFleet = fleet;
         mSync = sync;
         mLinks = links;
@@ -87,7 +87,7 @@
         coordinator(team, nowMillis)
                 .ifPresent(
                         h ->
-                                mLinks.to(h.address())
+                                mLinks.connect(h.address())
                                         .thenAccept(
                                                 l ->
                                                         l.send(
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestReader.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestReader.java
@@ -169,7 +169,7 @@
                             String name = e.getKey().toString();
                             boolean internal =
                                     name.toLowerCase(Locale.ROOT).startsWith(CallerHeaders.PREFIX);
-                            if (!internal && !HttpTargetClient.isHopHeader(name)) {
+                            if (!internal && !HttpTargetClient.isHopByHopHeader(name)) {
                                 out.add(
                                         Header.newBuilder()
                                                 .setName(name)
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ClaimSweeper.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/ClaimSweeper.java
@@ -86,7 +86,7 @@
         }
         mLease.tick();
         if (mLease.fence().isPresent()) {
-            mTable.scan(ClaimStore.PREFIX, mLastKey, PAGE_SIZE)
+            mTable.scan(ClaimStore.KEY_PREFIX, mLastKey, PAGE_SIZE)
                     .thenAccept(r -> mLoop.post(() -> deleteExpired(r)));
         }
     }
@@ -102,7 +102,7 @@
     }
 
     private boolean isExpired(Row row) {
-        long age = mClock.nowMillis() - ClaimStore.seen(row).row().atMillis();
+        long age = mClock.nowMillis() - ClaimStore.parse(row).row().atMillis();
         return age > ClaimRow.RETENTION_MILLIS + CLOCK_SKEW_MILLIS;
     }
 
