--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/AdminApi.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/admin/AdminApi.java
@@ -18,7 +18,7 @@
 import org.forkseam.core.cfg.FleetConfig;
 import org.forkseam.core.kernel.Service;
 import org.forkseam.core.util.Clock;
-import org.forkseam.daemon.share.ConfigAuthor;
+import org.forkseam.daemon.share.ConfigWriter;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.slf4j.Logger;
@@ -73,7 +73,7 @@
     public record Dependencies(
             Fleet fleet,
             FleetSync sync,
-            ConfigAuthor author,
+            ConfigWriter author,
             Supplier<Map<String, Object>> dump,
             Supplier<String> metrics,
             BooleanSupplier ready,
@@ -209,7 +209,7 @@
         if (!version.matches("[0-9]{1,12}")) {
             return error(400, "invalid version " + version + "; allowed: a non-negative integer");
         }
-        return Promise.ofCompletionStage(mDependencies.author().at(Long.parseLong(version)))
+        return Promise.ofCompletionStage(mDependencies.author().versionAt(Long.parseLong(version)))
                 .then(
                         c ->
                                 c.isPresent()
@@ -260,7 +260,7 @@
         if (!path.equals("/v1/config/changes")) {
             return error(404, "unknown path " + path + "; allowed: /v1/config/changes");
         }
-        ConfigAuthor.Request request;
+        ConfigWriter.Request request;
         try {
             request = parseRequest(JSON.readTree(body));
         } catch (IOException | IllegalArgumentException e) {
@@ -270,7 +270,7 @@
                 .then(this::toResponse);
     }
 
-    private static ConfigAuthor.Request parseRequest(JsonNode n) {
+    private static ConfigWriter.Request parseRequest(JsonNode n) {
         JsonNode base = n.path("base");
         Map<String, Map<String, String>> set =
                 JSON.convertValue(
@@ -284,7 +284,7 @@
         if (changeId.isEmpty()) {
             throw new IllegalArgumentException("change_id is missing; allowed: a unique string");
         }
-        return new ConfigAuthor.Request(
+        return new ConfigWriter.Request(
                 base.isNumber() ? OptionalLong.of(base.asLong()) : OptionalLong.empty(),
                 changeId,
                 n.path("author").asText("unknown"),
@@ -294,27 +294,27 @@
                 n.path("dry_run").asBoolean());
     }
 
-    private Promise<HttpResponse> toResponse(ConfigAuthor.Result result) {
+    private Promise<HttpResponse> toResponse(ConfigWriter.Result result) {
         Map<String, Object> m = new LinkedHashMap<>();
-        if (result instanceof ConfigAuthor.Result.Accepted a) {
+        if (result instanceof ConfigWriter.Result.Accepted a) {
             m.put("result", "accepted");
             m.put("version", a.version());
             m.put("findings", toStrings(a.findings()));
             return json(200, m);
         }
-        if (result instanceof ConfigAuthor.Result.Invalid i) {
+        if (result instanceof ConfigWriter.Result.Invalid i) {
             m.put("result", "invalid");
             m.put("findings", toStrings(i.findings()));
             return json(422, m);
         }
-        if (result instanceof ConfigAuthor.Result.Conflict c) {
+        if (result instanceof ConfigWriter.Result.Conflict c) {
             m.put("result", "conflict");
             m.put("latest", c.latest());
             m.put("others", c.others().stream().map(AdminApi::describe).toList());
             return json(409, m);
         }
         m.put("result", "unknown");
-        m.put("why", ((ConfigAuthor.Result.Unknown) result).why());
+        m.put("why", ((ConfigWriter.Result.Unknown) result).why());
         return json(503, m);
     }
 
