--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
@@ -61,7 +61,7 @@
     private final Settings mSettings;
     private final Clock mClock = Clock.system();
     private final Eventloop mLoop;
-    private final ServiceManager mKernel;
+    private final ServiceManager mServiceManager;
     private final PrometheusMeterRegistry mRegistry =
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final RandomGenerator mRandom;
@@ -82,7 +82,7 @@
         mRandom = random;
         mIncarnation = mClock.nowMillis();
         mLoop = Eventloop.builder().withThreadName("loop-" + host()).build();
-        mKernel = ServiceManager.of(settings.integer(SettingKey.DRAIN_TIMEOUT_MILLIS));
+        mServiceManager = ServiceManager.of(settings.integer(SettingKey.DRAIN_TIMEOUT_MILLIS));
         mHttp =
                 Http.of(
                         mLoop,
@@ -151,21 +151,21 @@
         registerCounter("forkseam.wire.rejected.peers", WireCounters::rejectedPeers);
         registerCounter("forkseam.wire.malformed", WireCounters::malformed);
         mRegistry.gauge("forkseam.config.version", mFleet, f -> f.config().version());
-        mKernel.add(mLinks).add(mSync);
-        mKernel.add(ClaimSweeper.of(mLoop, mClock, mFleet, mTable, host()));
-        mKernel.add(rollouts());
+        mServiceManager.add(mLinks).add(mSync);
+        mServiceManager.add(ClaimSweeper.of(mLoop, mClock, mFleet, mTable, host()));
+        mServiceManager.add(rollouts());
         DecisionLog decisions;
         if (mSettings.isRouter()) {
             mRouter = router();
-            mKernel.add(mRouter);
+            mServiceManager.add(mRouter);
             decisions = mRouter.decisions();
         } else {
             mSidecar = sidecar();
-            mKernel.add(mSidecar);
+            mServiceManager.add(mSidecar);
             decisions = mSidecar.decisions();
         }
         mAdmin = admin(decisions);
-        mKernel.add(mAdmin);
+        mServiceManager.add(mAdmin);
     }
 
     private void registerCounter(String name, ToDoubleFunction<WireCounters> value) {
@@ -268,7 +268,7 @@
         mThread = new Thread(mLoop, "loop-" + host());
         mThread.start();
         try {
-            mKernel.start();
+            mServiceManager.start();
         } catch (ExecutionException e) {
             stopLoop();
             throw e;
@@ -277,7 +277,7 @@
 
     /** Stops gracefully: in-flight requests may finish within the configured time. */
     public void stop() throws InterruptedException {
-        mKernel.stop();
+        mServiceManager.stop();
         stopLoop();
     }
 
@@ -323,7 +323,7 @@
     }
 
     private Map<String, Object> dump() {
-        Map<String, Object> out = mKernel.dump();
+        Map<String, Object> out = mServiceManager.dump();
         out.put("settings", mSettings.dump());
         out.put("host", host());
         out.put("incarnation", mIncarnation);
