--- a/forkseam-cli/src/main/java/org/forkseam/cli/AdminClient.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/AdminClient.java
@@ -8,7 +8,7 @@
 import io.activej.http.HttpHeaders;
 import io.activej.http.HttpRequest;
 
-import org.forkseam.platform.http.NoDns;
+import org.forkseam.platform.http.IpLiteralDnsClient;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -16,7 +16,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 
-/** Speaks to the operators' port of one daemon, one request at a time. */
+/** Blocking client of a daemon's admin API. Not thread-safe. */
 final class AdminClient {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -27,23 +27,23 @@
     private final String mKey;
 
     /**
-     * Holds an answer.
+     * A response.
      *
      * @param status HTTP status
-     * @param body its JSON, or a text node
+     * @param body JSON body, or a text node for any other content
      */
-    record Answer(int status, JsonNode body) {}
+    record Response(int status, JsonNode body) {}
 
     AdminClient(String address, String key) {
         mAddress = address;
         mKey = key;
     }
 
-    Answer get(String path) throws CliException {
+    Response get(String path) throws CliException {
         return send(HttpRequest.get(url(path)));
     }
 
-    Answer post(String path, JsonNode body) throws CliException {
+    Response post(String path, JsonNode body) throws CliException {
         byte[] data = body.toString().getBytes(StandardCharsets.UTF_8);
         return send(HttpRequest.post(url(path)).withBody(data));
     }
@@ -52,29 +52,29 @@
         return "http://" + mAddress + path;
     }
 
-    private Answer send(HttpRequest.Builder request) throws CliException {
+    private Response send(HttpRequest.Builder request) throws CliException {
         HttpRequest r = request.withHeader(HttpHeaders.AUTHORIZATION, "Bearer " + mKey).build();
         Eventloop loop = Eventloop.builder().withCurrentThread().build();
         HttpClient client =
-                HttpClient.builder(loop, new NoDns())
+                HttpClient.builder(loop, new IpLiteralDnsClient())
                         .withConnectTimeout(TIMEOUT)
                         .withReadWriteTimeout(TIMEOUT)
                         .withNoKeepAlive()
                         .build();
-        CompletableFuture<Answer> answer = new CompletableFuture<>();
+        CompletableFuture<Response> response = new CompletableFuture<>();
         client.request(r)
-                .then(h -> h.loadBody(MAX_BODY_BYTES).map(b -> read(h.getCode(), b.getArray())))
+                .then(h -> h.loadBody(MAX_BODY_BYTES).map(b -> parse(h.getCode(), b.getArray())))
                 .subscribe(
                         (a, e) -> {
                             if (e == null) {
-                                answer.complete(a);
+                                response.complete(a);
                             } else {
-                                answer.completeExceptionally(e);
+                                response.completeExceptionally(e);
                             }
                         });
         loop.run();
         try {
-            return checked(answer.get());
+            return requireAuthorized(response.get());
         } catch (ExecutionException e) {
             throw new CliException(
                     ExitCode.UNREACHABLE,
@@ -85,7 +85,7 @@
         }
     }
 
-    private Answer checked(Answer a) throws CliException {
+    private Response requireAuthorized(Response a) throws CliException {
         if (a.status() == UNAUTHORIZED) {
             throw new CliException(
                     ExitCode.REFUSED,
@@ -94,10 +94,10 @@
         return a;
     }
 
-    private static Answer read(int status, byte[] body) throws IOException {
+    private static Response parse(int status, byte[] body) throws IOException {
         String text = new String(body, StandardCharsets.UTF_8);
         boolean json = text.startsWith("{") || text.startsWith("[");
-        return new Answer(
+        return new Response(
                 status, json ? JSON.readTree(text) : JSON.getNodeFactory().textNode(text));
     }
 }
--- a/forkseam-cli/src/main/java/org/forkseam/cli/ChangeCommands.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/ChangeCommands.java
@@ -18,7 +18,7 @@
 import java.util.TreeSet;
 import java.util.UUID;
 
-/** Holds the sub-commands that change the configuration. */
+/** Subcommands that change the configuration. */
 final class ChangeCommands {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -26,13 +26,13 @@
 
     // ---------------------------------------------------------------- changes
 
-    /** Sends a change and prints what became of it. */
-    private static int change(Command.Context c, ObjectNode change) throws CliException {
+    /** Submits a change and prints its result. */
+    private static int submitChange(Command.Context c, ObjectNode change) throws CliException {
         change.put("author", System.getProperty("user.name", "unknown"));
         if (!change.has("change_id")) {
             change.put("change_id", UUID.randomUUID().toString());
         }
-        AdminClient.Answer a = c.client().post("/v1/config/changes", change);
+        AdminClient.Response a = c.client().post("/v1/config/changes", change);
         if (c.json()) {
             c.print(a.body());
             return a.status() == 200 ? ExitCode.DONE : ExitCode.REFUSED;
@@ -65,8 +65,8 @@
         return result.equals("accepted") ? ExitCode.DONE : ExitCode.REFUSED;
     }
 
-    /** Computes what a set of sections would change. */
-    private static ObjectNode difference(
+    /** Computes the change from the current configuration to the wanted sections. */
+    private static ObjectNode computeChange(
             JsonNode config, Map<String, Map<String, String>> wanted, boolean prune) {
         ObjectNode change = JSON.createObjectNode();
         ObjectNode set = change.putObject("set");
@@ -91,7 +91,7 @@
         return change;
     }
 
-    /** Writes the sections of INI files. */
+    /** Applies the sections of INI files. */
     static final class Apply implements Command {
         @Option(name = "-f", required = true, metaVar = "FILE", usage = "INI file; may be repeated")
         private List<Path> mFiles;
@@ -118,8 +118,8 @@
 
         @Override
         public int run(Context c) throws CliException {
-            JsonNode now = Commands.config(c);
-            ObjectNode change = difference(now, IniSections.read(mFiles), mPrune);
+            JsonNode now = Commands.fetchConfig(c);
+            ObjectNode change = computeChange(now, IniSections.read(mFiles), mPrune);
             if (change.path("set").isEmpty() && change.path("removed").isEmpty()) {
                 c.out().println("nothing to change at version " + now.path("version"));
                 return ExitCode.DONE;
@@ -129,11 +129,11 @@
             if (mChangeId != null) {
                 change.put("change_id", mChangeId);
             }
-            return change(c, change);
+            return submitChange(c, change);
         }
     }
 
-    /** Shows what apply would change. */
+    /** Shows what {@code apply --prune} would change. */
     static final class Diff implements Command {
         @Option(name = "-f", required = true, metaVar = "FILE", usage = "INI file; may be repeated")
         private List<Path> mFiles;
@@ -145,8 +145,8 @@
 
         @Override
         public int run(Context c) throws CliException {
-            JsonNode now = Commands.config(c);
-            ObjectNode change = difference(now, IniSections.read(mFiles), true);
+            JsonNode now = Commands.fetchConfig(c);
+            ObjectNode change = computeChange(now, IniSections.read(mFiles), true);
             change.remove("base");
             if (c.json()) {
                 return c.print(change);
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Sets and removes labels of one target or team. */
+    /** Sets and removes labels of a target or team. */
     static final class Label implements Command {
         @Argument(index = 0, required = true, metaVar = "target|team")
         private String mKind;
@@ -179,23 +179,23 @@
         @Override
         public int run(Context c) throws CliException {
             if (!mKind.equals("target") && !mKind.equals("team")) {
-                throw Commands.usage(mKind, "target or team");
+                throw Commands.usageError(mKind, "target or team");
             }
-            JsonNode now = Commands.config(c);
+            JsonNode now = Commands.fetchConfig(c);
             String section = mKind + " " + mName;
             Map<String, String> values = new TreeMap<>();
             now.path("sections")
                     .path(section)
                     .fields()
                     .forEachRemaining(e -> values.put(e.getKey(), e.getValue().asText()));
-            values.put("labels", relabel(values.getOrDefault("labels", "")));
+            values.put("labels", applyLabelChanges(values.getOrDefault("labels", "")));
             ObjectNode change = JSON.createObjectNode();
             change.put("base", now.path("version").asLong());
             change.putObject("set").set(section, JSON.valueToTree(values));
-            return change(c, change);
+            return submitChange(c, change);
         }
 
-        private String relabel(String labels) throws CliException {
+        private String applyLabelChanges(String labels) throws CliException {
             try {
                 Map<String, String> m = new TreeMap<>(Labels.parse(labels).asMap());
                 for (String x : mChanges) {
@@ -212,7 +212,7 @@
         }
     }
 
-    /** Makes a target take no new work, or take it again. */
+    /** Drains a target, or undoes the draining. */
     static final class Drain implements Command {
         private final boolean mDrained;
 
@@ -232,11 +232,11 @@
         public int run(Context c) throws CliException {
             JsonNode fleet = c.client().get("/v1/fleet").body();
             if (!fleet.path("targets").has(mTarget)) {
-                throw Commands.usage(
+                throw Commands.usageError(
                         "target " + mTarget,
                         String.join(", ", Commands.names(fleet.path("targets"))));
             }
-            JsonNode now = Commands.config(c);
+            JsonNode now = Commands.fetchConfig(c);
             String section = "target " + mTarget;
             ObjectNode values =
                     now.path("sections").has(section)
@@ -246,11 +246,11 @@
             ObjectNode change = JSON.createObjectNode();
             change.put("base", now.path("version").asLong());
             change.putObject("set").set(section, values);
-            return change(c, change);
+            return submitChange(c, change);
         }
     }
 
-    /** Shows versions and history, and rolls back. */
+    /** Shows the configuration, its status and history, and rolls it back. */
     static final class Config implements Command {
         @Argument(index = 0, required = true, metaVar = "status|history|rollback|show")
         private String mAction;
@@ -266,11 +266,13 @@
         @Override
         public int run(Context c) throws CliException {
             return switch (mAction) {
-                case "show" -> c.print(Commands.config(c));
+                case "show" -> c.print(Commands.fetchConfig(c));
                 case "status" -> status(c);
                 case "history" -> history(c);
                 case "rollback" -> rollback(c);
-                default -> throw Commands.usage(mAction, "status, history, rollback VERSION, show");
+                default ->
+                        throw Commands.usageError(
+                                mAction, "status, history, rollback VERSION, show");
             };
         }
 
@@ -322,12 +324,12 @@
             return ExitCode.DONE;
         }
 
-        /** Undoes the later changes by a new version that sets what stood before them. */
+        /** Submits a new version with the content of an earlier one. */
         private int rollback(Context c) throws CliException {
             if (mVersion == null) {
-                throw Commands.usage("rollback", "rollback VERSION");
+                throw Commands.usageError("rollback", "rollback VERSION");
             }
-            JsonNode now = Commands.config(c);
+            JsonNode now = Commands.fetchConfig(c);
             JsonNode at = c.client().get("/v1/config/at/" + mVersion).body();
             if (!at.has("sections")) {
                 throw new CliException(
@@ -343,10 +345,10 @@
                         .forEachRemaining(e -> values.put(e.getKey(), e.getValue().asText()));
                 wanted.put(s, values);
             }
-            ObjectNode change = difference(now, wanted, true);
+            ObjectNode change = computeChange(now, wanted, true);
             change.put("base", now.path("version").asLong());
             change.put("note", "rollback to version " + mVersion);
-            return change(c, change);
+            return submitChange(c, change);
         }
     }
 }
--- a/forkseam-cli/src/main/java/org/forkseam/cli/CliException.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/CliException.java
@@ -1,6 +1,6 @@
 package org.forkseam.cli;
 
-/** Ends a command with an exit code and one line that says why. */
+/** Thrown to end a command with an exit code and a one-line message. */
 final class CliException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/forkseam-cli/src/main/java/org/forkseam/cli/CliMain.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/CliMain.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /**
- * Runs one sub-command of the operators' command line.
+ * Entry point of the command line for operators. Stateless and thread-safe.
  *
  * @since 0.1
  */
@@ -23,20 +23,20 @@
 
     private CliMain() {}
 
-    /** Runs the command line and exits with its code. */
+    /** Runs the command line and exits with its exit code. */
     public static void main(String[] args) {
         System.exit(run(args, System.getenv(), System.out, System.err));
     }
 
     /**
-     * Runs the command line.
+     * Runs a subcommand.
      *
-     * @return 0 done, 1 refused or conflict, 2 usage, 3 unreachable
+     * @return exit code: 0 done, 1 refused or conflict, 2 usage error, 3 daemon unreachable
      */
     public static int run(
             String[] args, Map<String, String> environment, PrintStream out, PrintStream err) {
         if (args.length == 0 || args[0].equals("--help")) {
-            help(out);
+            printHelp(out);
             return args.length == 0 ? ExitCode.USAGE : ExitCode.DONE;
         }
         Command command = Commands.all().get(args[0]);
@@ -45,21 +45,21 @@
             err.println("forkseam: command " + args[0] + "; allowed: " + all);
             return ExitCode.USAGE;
         }
-        Common common = new Common();
+        CommonOptions common = new CommonOptions();
         CmdLineParser parser =
                 new CmdLineParser(command, ParserProperties.defaults().withUsageWidth(100));
         try {
-            List<String> own = common.take(List.of(args).subList(1, args.length));
+            List<String> commandArgs = common.parse(List.of(args).subList(1, args.length));
             if (common.mHelp) {
-                usage(command, parser, out);
+                printUsage(command, parser, out);
                 return ExitCode.DONE;
             }
-            parser.parseArgument(own);
-            AdminClient client = common.client(environment);
+            parser.parseArgument(commandArgs);
+            AdminClient client = common.createClient(environment);
             return command.run(new Command.Context(client, out, common.mJson));
         } catch (CmdLineException e) {
             err.println("forkseam " + args[0] + ": " + e.getMessage() + "; nothing was changed");
-            usage(command, parser, err);
+            printUsage(command, parser, err);
             return ExitCode.USAGE;
         } catch (CliException e) {
             err.println("forkseam " + args[0] + ": " + e.getMessage());
@@ -67,13 +67,13 @@
         }
     }
 
-    private static void usage(Command command, CmdLineParser parser, PrintStream out) {
+    private static void printUsage(Command command, CmdLineParser parser, PrintStream out) {
         out.println("example: forkseam " + command.example());
         parser.printUsage(out);
         out.println(" --address IP:PORT, --key KEY, --output table|json: for every command");
     }
 
-    private static void help(PrintStream out) {
+    private static void printHelp(PrintStream out) {
         out.println("forkseam COMMAND [OPTIONS]; examples:");
         Commands.all().forEach((n, c) -> out.println("  forkseam " + c.example()));
         out.println("Every command takes --address IP:PORT, --key KEY and --output table|json;");
@@ -81,22 +81,22 @@
         out.println("or from [forkseam] address, key in the INI file " + FILE_VARIABLE + " names.");
     }
 
-    /** Reads the options that every command has. */
-    private static final class Common {
+    /** Options common to all commands. */
+    private static final class CommonOptions {
         private String mAddress;
         private String mKey;
         private boolean mJson;
         private boolean mHelp;
 
-        /** Takes the common options out and returns the rest. */
-        List<String> take(List<String> args) throws CliException {
+        /** Parses the common options and returns the remaining arguments. */
+        List<String> parse(List<String> args) throws CliException {
             List<String> rest = new ArrayList<>();
             for (int i = 0; i < args.size(); i++) {
                 String a = args.get(i);
                 switch (a) {
-                    case "--address" -> mAddress = value(args, ++i, a);
-                    case "--key" -> mKey = value(args, ++i, a);
-                    case "--output" -> mJson = json(value(args, ++i, a));
+                    case "--address" -> mAddress = optionValue(args, ++i, a);
+                    case "--key" -> mKey = optionValue(args, ++i, a);
+                    case "--output" -> mJson = parseOutputFormat(optionValue(args, ++i, a));
                     case "--help" -> mHelp = true;
                     default -> rest.add(a);
                 }
@@ -104,25 +104,26 @@
             return mHelp ? List.of() : rest;
         }
 
-        private static String value(List<String> args, int i, String option) throws CliException {
+        private static String optionValue(List<String> args, int i, String option)
+                throws CliException {
             if (i >= args.size()) {
                 throw new CliException(ExitCode.USAGE, option + " lacks its value");
             }
             return args.get(i);
         }
 
-        private static boolean json(String v) throws CliException {
+        private static boolean parseOutputFormat(String v) throws CliException {
             if (!v.equals("json") && !v.equals("table")) {
                 throw new CliException(ExitCode.USAGE, "--output " + v + "; allowed: table, json");
             }
             return v.equals("json");
         }
 
-        AdminClient client(Map<String, String> environment) throws CliException {
-            Map<String, String> file = settings(environment);
+        AdminClient createClient(Map<String, String> environment) throws CliException {
+            Map<String, String> file = readSettingsFile(environment);
             String address =
-                    first(mAddress, environment.get(ADDRESS_VARIABLE), file.get("address"));
-            String key = first(mKey, environment.get(KEY_VARIABLE), file.get("key"));
+                    firstNonEmpty(mAddress, environment.get(ADDRESS_VARIABLE), file.get("address"));
+            String key = firstNonEmpty(mKey, environment.get(KEY_VARIABLE), file.get("key"));
             if (address == null
                     || !address.matches("[0-9.]+:[0-9]{1,5}|\\[[0-9a-f:]+]:[0-9]{1,5}")) {
                 throw new CliException(
@@ -136,7 +137,7 @@
             return new AdminClient(address, key == null ? "" : key);
         }
 
-        private static Map<String, String> settings(Map<String, String> environment)
+        private static Map<String, String> readSettingsFile(Map<String, String> environment)
                 throws CliException {
             String name = environment.get(FILE_VARIABLE);
             if (name == null || !Files.exists(Path.of(name))) {
@@ -145,7 +146,7 @@
             return IniSections.read(List.of(Path.of(name))).getOrDefault("forkseam", Map.of());
         }
 
-        private static String first(String... values) {
+        private static String firstNonEmpty(String... values) {
             for (String v : values) {
                 if (v != null && !v.isEmpty()) {
                     return v;
--- a/forkseam-cli/src/main/java/org/forkseam/cli/Command.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/Command.java
@@ -4,19 +4,19 @@
 
 import java.io.PrintStream;
 
-/** Is one sub-command; its options are fields that args4j fills. */
+/** A subcommand; args4j sets the fields of its options. */
 interface Command {
-    /** Returns one line that shows how it is used. */
+    /** Returns a one-line usage example. */
     String example();
 
-    /** Runs and returns the exit code. */
+    /** Runs the command and returns the exit code. */
     int run(Context context) throws CliException;
 
     /**
-     * Holds what a command works with.
+     * Environment of a command.
      *
-     * @param client the daemon asked
-     * @param out where results go
+     * @param client client of the daemon
+     * @param out stream for results
      * @param json whether results are printed as JSON
      */
     record Context(AdminClient client, PrintStream out, boolean json) {
--- a/forkseam-cli/src/main/java/org/forkseam/cli/Commands.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/Commands.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Holds the sub-commands of the command line. */
+/** Registry of the subcommands, with helpers shared by them. */
 final class Commands {
 
     private Commands() {}
 
-    /** Returns all sub-commands by name. */
+    /** Returns all subcommands by name. */
     static Map<String, Command> all() {
         Map<String, Command> m = new TreeMap<>();
         m.put("apply", new ChangeCommands.Apply());
@@ -34,11 +34,11 @@
         return out;
     }
 
-    static JsonNode config(Command.Context c) throws CliException {
+    static JsonNode fetchConfig(Command.Context c) throws CliException {
         return c.client().get("/v1/config").body();
     }
 
-    static CliException usage(String found, String allowed) {
+    static CliException usageError(String found, String allowed) {
         return new CliException(
                 ExitCode.USAGE, found + "; allowed: " + allowed + "; nothing was changed");
     }
--- a/forkseam-cli/src/main/java/org/forkseam/cli/ExitCode.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/ExitCode.java
@@ -1,6 +1,6 @@
 package org.forkseam.cli;
 
-/** Names the exit codes of the command line. */
+/** Exit codes of the command line. */
 final class ExitCode {
     static final int DONE = 0;
     static final int REFUSED = 1;
--- a/forkseam-cli/src/main/java/org/forkseam/cli/IniSections.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/IniSections.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads the declared configuration out of INI files. */
+/** Reads configuration sections from INI files. */
 final class IniSections {
     private IniSections() {}
 
--- a/forkseam-cli/src/main/java/org/forkseam/cli/Table.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/Table.java
@@ -5,12 +5,12 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Prints rows in columns as wide as their widest cell. */
+/** Prints rows in left-aligned columns. */
 final class Table {
     private final List<String[]> mRows = new ArrayList<>();
 
-    Table(String... heads) {
-        mRows.add(heads);
+    Table(String... headers) {
+        mRows.add(headers);
     }
 
     void add(Object... cells) {
--- a/forkseam-cli/src/main/java/org/forkseam/cli/ViewCommands.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/ViewCommands.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Holds the sub-commands that show what the fleet does. */
+/** Subcommands that show the state of the fleet. */
 final class ViewCommands {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Set<String> KINDS =
@@ -25,7 +25,7 @@
 
     // ---------------------------------------------------------------- views
 
-    /** Shows declared things and targets. */
+    /** Lists declared objects, targets and hosts. */
     static final class Get implements Command {
         @Argument(index = 0, required = true, metaVar = "KIND")
         private String mKind;
@@ -44,13 +44,13 @@
         @Override
         public int run(Context c) throws CliException {
             if (!KINDS.contains(mKind)) {
-                throw Commands.usage(mKind, String.join(", ", new TreeSet<>(KINDS)));
+                throw Commands.usageError(mKind, String.join(", ", new TreeSet<>(KINDS)));
             }
             Selector selector = selector();
             JsonNode found =
                     mKind.equals("targets") || mKind.equals("hosts")
                             ? c.client().get("/v1/fleet").body().path("targets")
-                            : declared(Commands.config(c).path("sections"));
+                            : declared(Commands.fetchConfig(c).path("sections"));
             ObjectNode out = JSON.createObjectNode();
             for (String n : Commands.names(found)) {
                 boolean named = mName == null || mName.equals(n);
@@ -59,7 +59,8 @@
                 }
             }
             if (mName != null && out.isEmpty()) {
-                throw Commands.usage(mKind + " " + mName, String.join(", ", Commands.names(found)));
+                throw Commands.usageError(
+                        mKind + " " + mName, String.join(", ", Commands.names(found)));
             }
             if (c.json()) {
                 return c.print(out);
@@ -127,7 +128,7 @@
         }
     }
 
-    /** Shows why a request went where it went. */
+    /** Shows the routing history of a request. */
     static final class Explain implements Command {
         @Argument(required = true, metaVar = "REQUEST-ID")
         private String mId;
@@ -164,7 +165,7 @@
         }
     }
 
-    /** Prints a daemon's whole state. */
+    /** Prints the state dump of a daemon. */
     static final class Dump implements Command {
         @Override
         public String example() {
@@ -177,7 +178,7 @@
         }
     }
 
-    /** Shows targets by their load against the mean. */
+    /** Shows the load of each pool's targets against the pool's mean. */
     static final class Top implements Command {
         @Override
         public String example() {
--- a/forkseam-cli/src/main/java/org/forkseam/cli/package-info.java
+++ b/forkseam-cli/src/main/java/org/forkseam/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' command line. */
+/** Command line for operators. */
 package org.forkseam.cli;
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
@@ -28,11 +28,11 @@
 import org.forkseam.daemon.sidecar.Sidecar;
 import org.forkseam.daemon.sidecar.SidecarCounters;
 import org.forkseam.platform.WeightStore;
-import org.forkseam.platform.http.Http;
 import org.forkseam.platform.http.HttpHostList;
 import org.forkseam.platform.http.HttpObjectStore;
 import org.forkseam.platform.http.HttpTableService;
 import org.forkseam.platform.http.HttpWeightStore;
+import org.forkseam.platform.http.PlatformHttpClient;
 import org.forkseam.wire.Link;
 import org.forkseam.wire.WireCounters;
 import org.forkseam.wire.WireIdentity;
@@ -67,7 +67,7 @@
     private final RandomGenerator mRandom;
     private final long mIncarnation;
     private final Fleet mFleet = new Fleet();
-    private final Http mHttp;
+    private final PlatformHttpClient mHttp;
     private final HttpTableService mTable;
     private final Links mLinks;
     private final FleetSync mSync;
@@ -83,7 +83,9 @@
         mIncarnation = mClock.nowMillis();
         mLoop = Eventloop.builder().withThreadName("loop-" + host()).build();
         mKernel = ServiceManager.of(settings.integer(SettingKey.STOP_MILLIS));
-        mHttp = Http.of(mLoop, Duration.ofMillis(settings.integer(SettingKey.PLATFORM_MILLIS)));
+        mHttp =
+                PlatformHttpClient.of(
+                        mLoop, Duration.ofMillis(settings.integer(SettingKey.PLATFORM_MILLIS)));
         mTable = HttpTableService.of(mHttp, settings.text(SettingKey.TABLE_SERVICE));
         mConfigStore =
                 ConfigStore.of(
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/net/Links.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/net/Links.java
@@ -6,9 +6,9 @@
 import org.forkseam.daemon.cfg.Settings;
 import org.forkseam.wire.Link;
 import org.forkseam.wire.LinkHandler;
-import org.forkseam.wire.Wire;
 import org.forkseam.wire.WireCounters;
 import org.forkseam.wire.WireSettings;
+import org.forkseam.wire.WireTransport;
 import org.forkseam.wire.proto.Packet;
 
 import java.io.IOException;
@@ -41,7 +41,7 @@
     private static final long TICK_MILLIS = 1_000;
 
     private final Eventloop mLoop;
-    private final Wire mWire;
+    private final WireTransport mWire;
     private final InetSocketAddress mListen;
     private final List<PacketSink> mSinks = new CopyOnWriteArrayList<>();
     private final Map<String, CompletableFuture<Link>> mOutgoing = new HashMap<>();
@@ -49,7 +49,7 @@
 
     private Links(Eventloop loop, WireSettings settings, InetSocketAddress listen) {
         mLoop = loop;
-        mWire = Wire.of(settings, this);
+        mWire = WireTransport.of(settings, this);
         mListen = listen;
     }
 
@@ -92,8 +92,8 @@
 
     private static boolean isIdle(Link link) {
         return link.isOutgoing()
-                && link.silentMillis() > IDLE_MILLIS
-                && link.unsentMillis() > IDLE_MILLIS;
+                && link.millisSinceLastRead() > IDLE_MILLIS
+                && link.millisSinceLastWrite() > IDLE_MILLIS;
     }
 
     // ---------------------------------------------------------------- public API
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderDesk.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderDesk.java
@@ -10,7 +10,7 @@
 import org.forkseam.daemon.share.LeaseKeeper;
 import org.forkseam.platform.Row;
 import org.forkseam.platform.TableService;
-import org.forkseam.platform.http.Http;
+import org.forkseam.platform.http.PlatformHttpClient;
 import org.forkseam.wire.Link;
 import org.forkseam.wire.proto.Order;
 import org.forkseam.wire.proto.OrderReply;
@@ -33,13 +33,17 @@
 public final class OrderDesk implements PacketSink {
     private static final int OK = 200;
 
-    private final Http mHttp;
+    private final PlatformHttpClient mHttp;
     private final String mUrl;
     private final TableService mTable;
     private final Supplier<Packet.Builder> mPackets;
     private final Map<String, FenceGuard> mGuards = new HashMap<>();
 
-    private OrderDesk(Http http, String url, TableService table, Supplier<Packet.Builder> packets) {
+    private OrderDesk(
+            PlatformHttpClient http,
+            String url,
+            TableService table,
+            Supplier<Packet.Builder> packets) {
         mHttp = http;
         mUrl = url + "/v1/orders";
         mTable = table;
@@ -48,7 +52,10 @@
 
     /** Creates the desk in front of the engine at a base URL. */
     public static OrderDesk of(
-            Http http, String url, TableService table, Supplier<Packet.Builder> packets) {
+            PlatformHttpClient http,
+            String url,
+            TableService table,
+            Supplier<Packet.Builder> packets) {
         return new OrderDesk(http, url, table, packets);
     }
 
@@ -109,7 +116,7 @@
     }
 
     private CompletableFuture<OrderReply> hand(Order order) {
-        ObjectNode body = Http.JSON.createObjectNode().put("fence", order.getFence());
+        ObjectNode body = PlatformHttpClient.JSON.createObjectNode().put("fence", order.getFence());
         body.put("model", order.getModel()).put("adapter", order.getAdapter());
         body.put("version", order.getVersion()).put("role", order.getRole());
         byte[] data = body.toString().getBytes(StandardCharsets.UTF_8);
@@ -123,7 +130,7 @@
     }
 
     private static OrderReply reply(
-            Order order, Http.Answer answer, Throwable e, OrderResult result) {
+            Order order, PlatformHttpClient.Response answer, Throwable e, OrderResult result) {
         OrderReply.Builder b = OrderReply.newBuilder().setId(order.getId());
         if (e != null) {
             return b.setResult(OrderResult.NO_ANSWER.name()).setDetail(e.toString()).build();
@@ -133,7 +140,7 @@
             return b.setResult(OrderResult.REFUSED.name()).setDetail(detail).build();
         }
         try {
-            JsonNode n = Http.JSON.readTree(answer.body());
+            JsonNode n = PlatformHttpClient.JSON.readTree(answer.body());
             return b.setResult(result.name())
                     .setModel(n.path("model").asText())
                     .setAdapter(n.path("adapter").asText())
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/Rollouts.java
@@ -238,7 +238,7 @@
             return mParts.weights()
                     .map(
                             s ->
-                                    s.ask(weights)
+                                    s.requestPermit(weights)
                                             .handle(
                                                     (p, e) ->
                                                             p
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempts.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Attempts.java
@@ -78,7 +78,7 @@
     void cutSilent() {
         Set<Link> silent = new HashSet<>();
         for (Attempt a : mOpen.values()) {
-            if (a.link() != null && a.link().silentMillis() > SILENT_MILLIS) {
+            if (a.link() != null && a.link().millisSinceLastRead() > SILENT_MILLIS) {
                 silent.add(a.link());
             }
         }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/DecisionReplies.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/DecisionReplies.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 
 import org.forkseam.core.util.DecisionLog;
-import org.forkseam.platform.http.Http;
+import org.forkseam.platform.http.PlatformHttpClient;
 import org.forkseam.wire.proto.DecisionQuery;
 import org.forkseam.wire.proto.DecisionReply;
 
@@ -12,7 +12,7 @@
     private DecisionReplies() {}
 
     static DecisionReply to(DecisionQuery query, DecisionLog log) {
-        ArrayNode list = Http.JSON.createArrayNode();
+        ArrayNode list = PlatformHttpClient.JSON.createArrayNode();
         for (DecisionLog.Note n : log.of(query.getRequestId())) {
             list.addObject()
                     .put("at_ms", n.atMillis())
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/DigestCarrier.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/DigestCarrier.java
@@ -46,7 +46,7 @@
     /** Returns the sender's own digest and a few others'. */
     public List<org.forkseam.wire.proto.LoadDigest> withOwn(LoadDigest own) {
         List<org.forkseam.wire.proto.LoadDigest> out = new ArrayList<>(1 + USUAL);
-        out.add(Codec.ownToWire(own, mClock.nowMillis()));
+        out.add(Codec.toWireWithoutTarget(own, mClock.nowMillis()));
         for (PoolView p : mFleet.view().poolsOf(own.target())) {
             draw(p, own.target(), USUAL, out);
         }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
@@ -334,8 +334,8 @@
         ConfigPush push =
                 mFleet.log()
                         .since(fromVersion)
-                        .map(Codec::push)
-                        .orElseGet(() -> Codec.push(mFleet.config()));
+                        .map(Codec::toConfigPush)
+                        .orElseGet(() -> Codec.toConfigPush(mFleet.config()));
         link.send(packet().setConfigPush(push).build());
     }
 
@@ -343,7 +343,7 @@
         long now = mClock.nowMillis();
         boolean any;
         if (push.getWhole() && push.getChangesCount() == 1) {
-            any = mFleet.onWhole(Codec.wholeFromWire(push.getChanges(0)), now);
+            any = mFleet.onWhole(Codec.fullConfigFromWire(push.getChanges(0)), now);
         } else {
             List<ConfigChange> changes = new ArrayList<>();
             push.getChangesList().forEach(c -> changes.add(Codec.fromWire(c)));
@@ -360,8 +360,8 @@
         List<ConfigChange> history = mFleet.log().history();
         ConfigPush push =
                 history.isEmpty()
-                        ? Codec.push(mFleet.config())
-                        : Codec.push(List.of(history.get(history.size() - 1)));
+                        ? Codec.toConfigPush(mFleet.config())
+                        : Codec.toConfigPush(List.of(history.get(history.size() - 1)));
         Packet packet = packet().setConfigPush(push).build();
         for (int i = 0; i < FANOUT; i++) {
             randomPeer()
@@ -382,7 +382,7 @@
     private void sendNotice() {
         long now = mClock.nowMillis();
         LoadNotice.Builder b = LoadNotice.newBuilder();
-        mOwnDigest.get().ifPresent(d -> b.addDigests(Codec.ownToWire(d, now)));
+        mOwnDigest.get().ifPresent(d -> b.addDigests(Codec.toWireWithoutTarget(d, now)));
         newest().forEach(d -> b.addDigests(Codec.toWire(d, now)));
         Packet packet = packet().setLoadNotice(b).build();
         randomPeer().ifPresent(h -> mLinks.to(h.address()).thenAccept(l -> l.send(packet)));
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseKeeper.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseKeeper.java
@@ -11,7 +11,7 @@
 import org.forkseam.platform.TableService;
 import org.forkseam.platform.TxnResult;
 import org.forkseam.platform.Write;
-import org.forkseam.platform.http.Http;
+import org.forkseam.platform.http.PlatformHttpClient;
 
 import java.io.UncheckedIOException;
 import java.util.Collection;
@@ -114,7 +114,7 @@
     /** Reads a lease out of its row. */
     public static LeaseRow read(Row row) {
         try {
-            return Http.JSON.readValue(row.value(), LeaseRow.class);
+            return PlatformHttpClient.JSON.readValue(row.value(), LeaseRow.class);
         } catch (JsonProcessingException e) {
             throw new UncheckedIOException("lease " + row.key() + " cannot be read", e);
         }
@@ -122,7 +122,7 @@
 
     private static String text(LeaseRow row) {
         try {
-            return Http.JSON.writeValueAsString(row);
+            return PlatformHttpClient.JSON.writeValueAsString(row);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("a lease can always be written", e);
         }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/CacheWatch.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/CacheWatch.java
@@ -8,7 +8,7 @@
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.core.util.Clock;
 import org.forkseam.daemon.share.Ticker;
-import org.forkseam.platform.http.Http;
+import org.forkseam.platform.http.PlatformHttpClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -32,7 +32,7 @@
     private static final long PAUSE_MILLIS = 60_000;
     private static final double SMOOTHING = 0.02;
 
-    private final Http mHttp;
+    private final PlatformHttpClient mHttp;
     private final String mUrl;
     private final Clock mClock;
     private final Ticker mTicker;
@@ -41,7 +41,7 @@
     private double mLifetimeMillis;
     private long mDelayMillis = POLL_MILLIS;
 
-    private CacheWatch(Eventloop loop, Http http, String url, Clock clock) {
+    private CacheWatch(Eventloop loop, PlatformHttpClient http, String url, Clock clock) {
         mHttp = http;
         mUrl = url;
         mClock = clock;
@@ -49,7 +49,7 @@
     }
 
     /** Creates the watch of an engine at a base URL. */
-    public static CacheWatch of(Eventloop loop, Http http, String url, Clock clock) {
+    public static CacheWatch of(Eventloop loop, PlatformHttpClient http, String url, Clock clock) {
         return new CacheWatch(loop, http, url, clock);
     }
 
@@ -82,7 +82,7 @@
 
     private void read(byte[] body) {
         try {
-            for (JsonNode n : Http.JSON.readTree(body).path("events")) {
+            for (JsonNode n : PlatformHttpClient.JSON.readTree(body).path("events")) {
                 onEvent(n.asText().split(" "));
             }
         } catch (IOException e) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/HttpTargetClient.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/HttpTargetClient.java
@@ -9,7 +9,7 @@
 import io.activej.http.HttpRequest;
 import io.activej.http.HttpResponse;
 
-import org.forkseam.platform.http.NoDns;
+import org.forkseam.platform.http.IpLiteralDnsClient;
 import org.forkseam.wire.proto.Header;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -43,7 +43,7 @@
     private HttpTargetClient(Eventloop loop, String url) {
         mUrl = url;
         mClient =
-                HttpClient.builder(loop, new NoDns())
+                HttpClient.builder(loop, new IpLiteralDnsClient())
                         .withConnectTimeout(CONNECT)
                         .withKeepAliveTimeout(KEEP_ALIVE)
                         .build();
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
@@ -237,7 +237,7 @@
         mGate.expire();
         mKeeper.expire(mClock.nowMillis()).forEach(this::giveUp);
         for (Map.Entry<Link, Map<Long, Attached>> e : mStreams.entrySet()) {
-            if (!e.getValue().isEmpty() && e.getKey().unsentMillis() > ALIVE_MILLIS) {
+            if (!e.getValue().isEmpty() && e.getKey().millisSinceLastWrite() > ALIVE_MILLIS) {
                 sendNotice(e.getKey());
             }
         }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/HostList.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/HostList.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Is the platform's lagging list of live and leaving hosts.
+ * Eventually consistent list of live and leaving hosts, provided by the platform.
  *
  * @since 0.1
  */
 public interface HostList {
-    /** Reads the list; fails with {@link PlatformException} when no answer came. */
+    /** Reads the list; the future fails with {@link PlatformException} if no response arrives. */
     CompletableFuture<List<HostEntry>> read();
 }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/ObjectStore.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/ObjectStore.java
@@ -4,18 +4,18 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Is the platform's object store. Futures fail with {@link PlatformException} when no answer came;
- * a put that failed may have taken effect.
+ * Object store of the platform. Futures fail with {@link PlatformException} if no response arrives;
+ * a put that failed may still have taken effect.
  *
  * @since 0.1
  */
 public interface ObjectStore {
-    /** Writes an object whole. */
+    /** Writes an object, replacing any existing one. */
     CompletableFuture<Void> put(String key, byte[] data);
 
     /** Reads an object. */
     CompletableFuture<Optional<byte[]>> get(String key);
 
-    /** Deletes an object; deleting one that is absent succeeds. */
+    /** Deletes an object; succeeds if it does not exist. */
     CompletableFuture<Void> delete(String key);
 }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/PlatformException.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/PlatformException.java
@@ -2,16 +2,16 @@
 
 import java.io.IOException;
 
-/** Reports that a service of the platform gave no usable answer to a read. */
+/** Thrown when a platform service returns no usable response. */
 public final class PlatformException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** Names the service and what happened. */
-    public PlatformException(String service, String what) {
-        super(service + ": " + what);
+    /** Creates an exception with the service and a description. */
+    public PlatformException(String service, String message) {
+        super(service + ": " + message);
     }
 
-    /** Names the service and the cause. */
+    /** Creates an exception with the service and the cause. */
     public PlatformException(String service, Throwable cause) {
         super(service + ": " + cause, cause);
     }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/Row.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/Row.java
@@ -1,10 +1,10 @@
 package org.forkseam.platform;
 
 /**
- * Holds one row of the table service.
+ * A row of the table service. Immutable.
  *
- * @param key the row's key
- * @param value its text
- * @param revision changes with each write of the row
+ * @param key key of the row
+ * @param value value of the row
+ * @param revision revision of the last write to the row
  */
 public record Row(String key, String value, long revision) {}
--- a/forkseam-platform/src/main/java/org/forkseam/platform/TableService.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/TableService.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Is the platform's transactional table service.
+ * Transactional key-value table service of the platform.
  *
- * <p>Reads that get no answer fail with {@link PlatformException}; a transaction never fails, it
- * may end in {@link TxnResult.Unknown}. Futures complete on the event loop of the caller.
+ * <p>Reads without a response fail with {@link PlatformException}; the future of a transaction
+ * never fails but may yield {@link TxnResult.Unknown}. Futures complete on the caller's event loop.
  *
  * @since 0.1
  */
@@ -17,14 +17,14 @@
     CompletableFuture<Optional<Row>> get(String key);
 
     /**
-     * Reads the rows whose keys start with the prefix and come after {@code after}, sorted by key.
+     * Reads the rows whose keys start with {@code prefix} and follow {@code after}, sorted by key.
      *
-     * @param prefix what the keys start with
-     * @param after the last key of the scan before, or empty
-     * @param limit rows at most
+     * @param prefix key prefix
+     * @param after last key of the previous page, or empty
+     * @param limit maximum number of rows
      */
     CompletableFuture<List<Row>> scan(String prefix, String after, int limit);
 
-    /** Writes all or nothing. */
+    /** Applies all writes atomically, or none. */
     CompletableFuture<TxnResult> transact(List<Write> writes);
 }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/TxnResult.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/TxnResult.java
@@ -2,26 +2,26 @@
 
 import java.util.List;
 
-/** Is the result of a transaction: not knowing is a result like the others. */
+/** Result of a transaction. */
 public sealed interface TxnResult {
     /**
      * All writes took effect.
      *
-     * @param revision the rows' new revision
+     * @param revision new revision of the rows
      */
     record Applied(long revision) implements TxnResult {}
 
     /**
-     * No write took effect, since a condition did not hold.
+     * No write took effect because a condition did not hold.
      *
-     * @param rows the rows named in the transaction as they are, without those that are absent
+     * @param rows current state of the transaction's rows, without those that do not exist
      */
     record Conflict(List<Row> rows) implements TxnResult {}
 
     /**
-     * The service gave no answer: the writes took effect, or did not, or still may.
+     * No response arrived: the writes may have taken effect, or may still do so.
      *
-     * @param why what happened to the answer
+     * @param why cause of the missing response
      */
-    record Unknown(String why) implements TxnResult {}
+    record Unknown(String reason) implements TxnResult {}
 }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/WeightStore.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/WeightStore.java
@@ -3,27 +3,27 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Is the platform's rate-limited store of model weights.
+ * Rate-limited store of model weights, provided by the platform.
  *
  * @since 0.1
  */
 public interface WeightStore {
-    /** Says whether a download may start now. */
+    /** Response to a permit request. */
     sealed interface Permit {
-        /** A download may start. */
+        /** The download may start. */
         record Granted() implements Permit {}
 
         /**
-         * The rate is used up.
+         * The rate limit is exhausted.
          *
-         * @param afterMillis when to ask again
+         * @param afterMillis delay before the next request
          */
-        record Later(long afterMillis) implements Permit {}
+        record RateLimited(long retryAfterMillis) implements Permit {}
 
-        /** There are no such weights. */
-        record Absent() implements Permit {}
+        /** The weights do not exist. */
+        record NotFound() implements Permit {}
     }
 
-    /** Asks whether a download of these weights may start. */
-    CompletableFuture<Permit> ask(String weights);
+    /** Requests permission to start a download of the weights. */
+    CompletableFuture<Permit> requestPermit(String weights);
 }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/Write.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/Write.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 
 /**
- * Holds one conditional write of a transaction.
+ * One write of a transaction, optionally conditional on the row's revision. Immutable.
  *
- * @param key the row's key
- * @param value the new text, or empty to delete the row
- * @param expectedRevision the revision the row must have; 0 means that it must be absent; empty
- *     means no condition
+ * @param key key of the row
+ * @param value new value, or empty to delete the row
+ * @param expectedRevision required revision of the row; 0 if the row must not exist, empty for an
+ *     unconditional write
  */
 public record Write(String key, Optional<String> value, Optional<Long> expectedRevision) {
-    /** Creates a write of a row that must be absent. */
+    /** Creates a write that requires the row not to exist. */
     public static Write insert(String key, String value) {
         return new Write(key, Optional.of(value), Optional.of(0L));
     }
 
-    /** Creates a write of a row that must have the revision given. */
+    /** Creates a write that requires the row to have the given revision. */
     public static Write replace(String key, String value, long revision) {
         return new Write(key, Optional.of(value), Optional.of(revision));
     }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/http/HttpHostList.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/http/HttpHostList.java
@@ -15,9 +15,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reads the host list in the form of Prometheus HTTP service discovery: a list of {@code targets}
- * with {@code labels}, of which {@code host} names the host and {@code state=leaving} says that it
- * leaves. The list is sent again only when its ETag has changed: at 1,200 hosts it is some 300 KB.
+ * Reads the host list in the format of Prometheus HTTP service discovery: groups of {@code targets}
+ * with {@code labels}, where {@code host} is the host name and {@code state=leaving} marks a
+ * leaving host. Uses ETags to skip the transfer of an unchanged list. Confined to the client's
+ * event loop.
  *
  * @since 0.1
  */
@@ -28,18 +29,18 @@
     private static final int OK = 200;
     private static final int NOT_MODIFIED = 304;
 
-    private final Http mHttp;
+    private final PlatformHttpClient mHttp;
     private final String mUrl;
     private String mEtag = "";
-    private List<HostEntry> mLast = List.of();
+    private List<HostEntry> mLastEntries = List.of();
 
-    private HttpHostList(Http http, String url) {
+    private HttpHostList(PlatformHttpClient http, String url) {
         mHttp = http;
         mUrl = url;
     }
 
-    /** Creates a reader of the list at a URL. */
-    public static HttpHostList of(Http http, String url) {
+    /** Creates a client of the list at a URL. */
+    public static HttpHostList of(PlatformHttpClient http, String url) {
         return new HttpHostList(http, url);
     }
 
@@ -48,18 +49,18 @@
         return mHttp.getIfChanged(SERVICE, mUrl, mEtag).thenCompose(this::parse);
     }
 
-    private CompletableFuture<List<HostEntry>> parse(Http.Answer a) {
+    private CompletableFuture<List<HostEntry>> parse(PlatformHttpClient.Response a) {
         if (a.status() == NOT_MODIFIED) {
-            return CompletableFuture.completedFuture(mLast);
+            return CompletableFuture.completedFuture(mLastEntries);
         }
         if (a.status() != OK) {
             return CompletableFuture.failedFuture(
                     new PlatformException(SERVICE, "status " + a.status()));
         }
         try {
-            mLast = entries(Http.JSON.readTree(a.body()));
+            mLastEntries = entries(PlatformHttpClient.JSON.readTree(a.body()));
             mEtag = a.etag();
-            return CompletableFuture.completedFuture(mLast);
+            return CompletableFuture.completedFuture(mLastEntries);
         } catch (IOException e) {
             return CompletableFuture.failedFuture(new PlatformException(SERVICE, e));
         }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/http/HttpObjectStore.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/http/HttpObjectStore.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Speaks to the object store by the S3 protocol's path style: PUT, GET and DELETE of {@code
- * /bucket/key}.
+ * Object store client for the path-style S3 protocol: PUT, GET and DELETE of {@code /bucket/key}.
+ * Confined to the client's event loop.
  *
  * @since 0.1
  */
@@ -19,16 +19,16 @@
     private static final int NOT_FOUND = 404;
     private static final int MULTIPLE_CHOICES = 300;
 
-    private final Http mHttp;
+    private final PlatformHttpClient mHttp;
     private final String mBucketUrl;
 
-    private HttpObjectStore(Http http, String bucketUrl) {
+    private HttpObjectStore(PlatformHttpClient http, String bucketUrl) {
         mHttp = http;
         mBucketUrl = bucketUrl;
     }
 
-    /** Creates a client of one bucket, given by its URL. */
-    public static HttpObjectStore of(Http http, String bucketUrl) {
+    /** Creates a client of the bucket at a URL. */
+    public static HttpObjectStore of(PlatformHttpClient http, String bucketUrl) {
         return new HttpObjectStore(http, bucketUrl);
     }
 
@@ -57,7 +57,7 @@
                                         : check(a));
     }
 
-    private static CompletableFuture<Void> check(Http.Answer a) {
+    private static CompletableFuture<Void> check(PlatformHttpClient.Response a) {
         return a.status() < MULTIPLE_CHOICES
                 ? CompletableFuture.completedFuture(null)
                 : CompletableFuture.failedFuture(
--- a/forkseam-platform/src/main/java/org/forkseam/platform/http/HttpTableService.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/http/HttpTableService.java
@@ -22,30 +22,31 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Speaks to the table service by the JSON form of the etcd v3 key-value protocol: {@code
- * /v3/kv/range} and {@code /v3/kv/txn} with comparisons of the modification revision.
+ * Table service client for the JSON gateway of the etcd v3 key-value API: {@code /v3/kv/range} and
+ * {@code /v3/kv/txn} with comparisons of the modification revision. Confined to the client's event
+ * loop.
  *
  * @since 0.1
  */
 public final class HttpTableService implements TableService {
     private static final String SERVICE = "table service";
 
-    private final Http mHttp;
+    private final PlatformHttpClient mHttp;
     private final String mUrl;
 
-    private HttpTableService(Http http, String url) {
+    private HttpTableService(PlatformHttpClient http, String url) {
         mHttp = http;
         mUrl = url;
     }
 
     /** Creates a client of the service at a base URL. */
-    public static HttpTableService of(Http http, String url) {
+    public static HttpTableService of(PlatformHttpClient http, String url) {
         return new HttpTableService(http, url);
     }
 
     @Override
     public CompletableFuture<Optional<Row>> get(String key) {
-        ObjectNode q = Http.JSON.createObjectNode().put("key", encode(key));
+        ObjectNode q = PlatformHttpClient.JSON.createObjectNode().put("key", encode(key));
         return range(q).thenApply(rows -> rows.stream().findFirst());
     }
 
@@ -53,10 +54,10 @@
     public CompletableFuture<List<Row>> scan(String prefix, String after, int limit) {
         String from = after.isEmpty() ? prefix : after + '\0';
         ObjectNode q =
-                Http.JSON
+                PlatformHttpClient.JSON
                         .createObjectNode()
                         .put("key", encode(from))
-                        .put("range_end", encode(endOf(prefix)))
+                        .put("range_end", encode(prefixEnd(prefix)))
                         .put("limit", Integer.toString(limit));
         return range(q);
     }
@@ -71,7 +72,7 @@
     }
 
     private static ObjectNode transaction(List<Write> writes) {
-        ObjectNode txn = Http.JSON.createObjectNode();
+        ObjectNode txn = PlatformHttpClient.JSON.createObjectNode();
         ArrayNode compare = txn.putArray("compare");
         ArrayNode success = txn.putArray("success");
         ArrayNode failure = txn.putArray("failure");
@@ -127,12 +128,12 @@
         return rows;
     }
 
-    private static JsonNode parse(Http.Answer answer) {
+    private static JsonNode parse(PlatformHttpClient.Response answer) {
         try {
             if (answer.status() != 200) {
                 throw new PlatformException(SERVICE, "status " + answer.status());
             }
-            return Http.JSON.readTree(answer.body());
+            return PlatformHttpClient.JSON.readTree(answer.body());
         } catch (IOException e) {
             throw new CompletionException(e);
         }
@@ -142,7 +143,7 @@
         return node.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String endOf(String prefix) {
+    private static String prefixEnd(String prefix) {
         int last = prefix.length() - 1;
         return prefix.substring(0, last) + (char) (prefix.charAt(last) + 1);
     }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/http/NoDns.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/http/IpLiteralDnsClient.java
@@ -11,17 +11,17 @@
 import java.net.UnknownHostException;
 import java.util.regex.Pattern;
 
-/** Refuses to resolve names: hosts are addressed by IP numbers. */
-public final class NoDns implements IDnsClient {
-    private static final Pattern IP_NUMBERS = Pattern.compile("[0-9.]+|[0-9a-fA-F:]+");
+/** DNS client that accepts IP address literals only and never queries a server. Thread-safe. */
+public final class IpLiteralDnsClient implements IDnsClient {
+    private static final Pattern IP_LITERAL = Pattern.compile("[0-9.]+|[0-9a-fA-F:]+");
     private static final int TTL_SECONDS = 3600;
 
     @Override
     public Promise<DnsResponse> resolve(DnsQuery query) {
         String name = query.getDomainName();
-        if (!IP_NUMBERS.matcher(name).matches()) {
+        if (!IP_LITERAL.matcher(name).matches()) {
             return Promise.ofException(
-                    new UnknownHostException(name + ": only IP numbers are allowed"));
+                    new UnknownHostException(name + ": only IP address literals are allowed"));
         }
         try {
             InetAddress[] addresses = InetAddress.getAllByName(name);
--- a/forkseam-platform/src/main/java/org/forkseam/platform/http/Http.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/http/PlatformHttpClient.java
@@ -20,53 +20,53 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Sends small requests to a service of the platform and reads their answers whole.
+ * HTTP client for platform services that buffers complete responses.
  *
- * <p>To be used on the event loop it was created with; futures complete there.
+ * <p>Not thread-safe: must be used on its event loop, where futures complete.
  *
  * @since 0.1
  */
-public final class Http {
-    /** Reads and writes JSON; thread-safe. */
+public final class PlatformHttpClient {
+    /** Shared JSON mapper; thread-safe. */
     public static final ObjectMapper JSON = new ObjectMapper();
 
     private static final int MAX_BODY_BYTES = 16 << 20;
-    private static final int ERROR_STATUS = 500;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
 
     private final HttpClient mClient;
     private final Eventloop mEventloop;
     private final long mTimeoutMillis;
 
     /**
-     * Holds an answer read whole.
+     * A buffered response.
      *
-     * @param status the HTTP status
-     * @param body the body
-     * @param retryAfterMillis from Retry-After, or 0
-     * @param etag names the content's version, or empty
+     * @param status HTTP status
+     * @param body response body
+     * @param retryAfterMillis delay of the {@code Retry-After} header, or 0
+     * @param etag {@code ETag} of the content, or empty
      */
-    public record Answer(int status, byte[] body, long retryAfterMillis, String etag) {}
+    public record Response(int status, byte[] body, long retryAfterMillis, String etag) {}
 
-    private Http(HttpClient client, Eventloop eventloop, long timeoutMillis) {
+    private PlatformHttpClient(HttpClient client, Eventloop eventloop, long timeoutMillis) {
         mClient = client;
         mEventloop = eventloop;
         mTimeoutMillis = timeoutMillis;
     }
 
-    /** Creates a sender with a time limit for each request. */
-    public static Http of(Eventloop eventloop, Duration timeout) {
+    /** Creates a client with a timeout per request. */
+    public static PlatformHttpClient of(Eventloop eventloop, Duration timeout) {
         HttpClient client =
-                HttpClient.builder(eventloop, new NoDns())
+                HttpClient.builder(eventloop, new IpLiteralDnsClient())
                         .withConnectTimeout(timeout)
                         .withReadWriteTimeout(timeout)
                         .withKeepAliveTimeout(Duration.ofSeconds(30))
                         .withMaxBodySize(MAX_BODY_BYTES)
                         .build();
-        return new Http(client, eventloop, timeout.toMillis());
+        return new PlatformHttpClient(client, eventloop, timeout.toMillis());
     }
 
-    /** Reads what a URL holds; status 304 if it is still of the version named by the ETag. */
-    public CompletableFuture<Answer> getIfChanged(String service, String url, String etag) {
+    /** Sends a conditional GET; the status is 304 if the content still has the given ETag. */
+    public CompletableFuture<Response> getIfChanged(String service, String url, String etag) {
         HttpRequest.Builder b = HttpRequest.get(url);
         if (!etag.isEmpty()) {
             b.withHeader(HttpHeaders.IF_NONE_MATCH, etag);
@@ -74,8 +74,8 @@
         return send(service, b);
     }
 
-    /** Sends a request; the future fails when no answer came in time, or one of status 500 up. */
-    public CompletableFuture<Answer> send(
+    /** Sends a request; the future fails on a timeout or a status of 500 or above. */
+    public CompletableFuture<Response> send(
             String service, HttpMethod method, String url, byte[] body) {
         HttpRequest.Builder b = HttpRequest.builder(method, url);
         if (body != null) {
@@ -84,8 +84,8 @@
         return send(service, b);
     }
 
-    private CompletableFuture<Answer> send(String service, HttpRequest.Builder b) {
-        CompletableFuture<Answer> done = new CompletableFuture<>();
+    private CompletableFuture<Response> send(String service, HttpRequest.Builder b) {
+        CompletableFuture<Response> done = new CompletableFuture<>();
         ScheduledRunnable timeout =
                 mEventloop.delayBackground(
                         mTimeoutMillis,
@@ -93,12 +93,12 @@
                                 done.completeExceptionally(
                                         new PlatformException(service, "no answer in time")));
         Promise<HttpResponse> sent = mClient.request(b.build());
-        sent.then(r -> r.loadBody(MAX_BODY_BYTES).map(buf -> answer(r, buf)))
+        sent.then(r -> r.loadBody(MAX_BODY_BYTES).map(buf -> toResponse(r, buf)))
                 .subscribe(
                         (a, e) -> {
                             if (e != null) {
                                 done.completeExceptionally(new PlatformException(service, e));
-                            } else if (a.status() >= ERROR_STATUS) {
+                            } else if (a.status() >= MIN_SERVER_ERROR_STATUS) {
                                 done.completeExceptionally(
                                         new PlatformException(service, "status " + a.status()));
                             } else {
@@ -109,24 +109,24 @@
         return done;
     }
 
-    private static Answer answer(HttpResponse r, ByteBuf buf) {
-        long after = seconds(Optional.ofNullable(r.getHeader(HttpHeaders.RETRY_AFTER)));
+    private static Response toResponse(HttpResponse r, ByteBuf buf) {
+        long after = retryAfterMillis(Optional.ofNullable(r.getHeader(HttpHeaders.RETRY_AFTER)));
         String etag = Optional.ofNullable(r.getHeader(HttpHeaders.ETAG)).orElse("");
-        return new Answer(r.getCode(), buf.getArray(), after, etag);
+        return new Response(r.getCode(), buf.getArray(), after, etag);
     }
 
-    private static long seconds(Optional<String> text) {
+    private static long retryAfterMillis(Optional<String> text) {
         return text.filter(t -> t.matches("[0-9]{1,6}"))
                 .map(t -> Long.parseLong(t) * 1000)
                 .orElse(0L);
     }
 
-    /** Closes kept connections. */
+    /** Closes the client and its keep-alive connections. */
     public void stop() {
         mClient.stop();
     }
 
-    /** Returns a header by name, for callers that build requests themselves. */
+    /** Returns the header with the given name, for use in custom requests. */
     public static HttpHeader header(String name) {
         return HttpHeaders.of(name);
     }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/http/package-info.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/http/package-info.java
@@ -1,2 +1,2 @@
-/** Clients of the platform's services over HTTP, by published protocols. */
+/** HTTP clients of the platform services. */
 package org.forkseam.platform.http;
--- a/forkseam-platform/src/main/java/org/forkseam/platform/package-info.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/package-info.java
@@ -1,2 +1,2 @@
-/** What the platform gives, each behind one small interface. */
+/** Interfaces to the services of the hosting platform. */
 package org.forkseam.platform;
--- a/forkseam-standin/src/test/java/org/forkseam/standin/PlatformContractTest.java
+++ b/forkseam-standin/src/test/java/org/forkseam/standin/PlatformContractTest.java
@@ -10,11 +10,11 @@
 import org.forkseam.platform.TxnResult;
 import org.forkseam.platform.WeightStore;
 import org.forkseam.platform.Write;
-import org.forkseam.platform.http.Http;
 import org.forkseam.platform.http.HttpHostList;
 import org.forkseam.platform.http.HttpObjectStore;
 import org.forkseam.platform.http.HttpTableService;
 import org.forkseam.platform.http.HttpWeightStore;
+import org.forkseam.platform.http.PlatformHttpClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -36,7 +36,7 @@
     private PlatformStandin mPlatform;
     private Eventloop mLoop;
     private Thread mThread;
-    private Http mHttp;
+    private PlatformHttpClient mHttp;
     private HttpTableService mTable;
 
     /** What may be wrong with the platform. */
@@ -57,7 +57,7 @@
         mLoop.keepAlive(true);
         mThread = new Thread(mLoop, "client");
         mThread.start();
-        mHttp = Http.of(mLoop, Duration.ofMillis(300));
+        mHttp = PlatformHttpClient.of(mLoop, Duration.ofMillis(300));
         mTable = HttpTableService.of(mHttp, mPlatform.tableUrl());
     }
 
@@ -228,8 +228,9 @@
     void weightStoreGrantsUpToItsRate() throws Exception {
         HttpWeightStore w = HttpWeightStore.of(mHttp, mPlatform.weightsUrl());
         mPlatform.setWeightPermits(1);
-        assertThat(on(() -> w.ask("lm-2"))).isInstanceOf(WeightStore.Permit.Granted.class);
-        WeightStore.Permit p = on(() -> w.ask("lm-2"));
-        assertThat(((WeightStore.Permit.Later) p).afterMillis()).isEqualTo(1000);
+        assertThat(on(() -> w.requestPermit("lm-2")))
+                .isInstanceOf(WeightStore.Permit.Granted.class);
+        WeightStore.Permit p = on(() -> w.requestPermit("lm-2"));
+        assertThat(((WeightStore.Permit.RateLimited) p).retryAfterMillis()).isEqualTo(1000);
     }
 }
--- a/forkseam-wire/src/main/java/org/forkseam/wire/Codec.java
+++ b/forkseam-wire/src/main/java/org/forkseam/wire/Codec.java
@@ -14,23 +14,28 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Converts between the core's values and their messages. */
+/** Converts between core types and their protobuf messages. Stateless and thread-safe. */
 public final class Codec {
     private Codec() {}
 
-    /** Returns the hash that stands for a target's name in digests; never 0. */
+    /** Returns the hash that identifies a target in load digests; never 0, which means unset. */
     public static int targetHash(String target) {
         int h = (int) Hashes.of(target);
         return h == 0 ? 1 : h;
     }
 
-    /** Writes a digest with its age, since clocks of two hosts are not compared. */
+    /** Converts a digest, sending its age because host clocks are not synchronized. */
     public static org.forkseam.wire.proto.LoadDigest toWire(LoadDigest d, long nowMillis) {
-        return ownToWire(d, nowMillis).toBuilder().setTarget(targetHash(d.target())).build();
+        return toWireWithoutTarget(d, nowMillis).toBuilder()
+                .setTarget(targetHash(d.target()))
+                .build();
     }
 
-    /** Writes the digest of the sender's own target, which the receiver knows by the link. */
-    public static org.forkseam.wire.proto.LoadDigest ownToWire(LoadDigest d, long nowMillis) {
+    /**
+     * Converts the digest of the sender's own target, which the receiver identifies by the link.
+     */
+    public static org.forkseam.wire.proto.LoadDigest toWireWithoutTarget(
+            LoadDigest d, long nowMillis) {
         return org.forkseam.wire.proto.LoadDigest.newBuilder()
                 .setSequence(d.sequence())
                 .setLoad(d.load())
@@ -39,7 +44,7 @@
                 .build();
     }
 
-    /** Reads a digest of a target; its age is counted back from the receiver's clock. */
+    /** Converts a digest message; its time is the receiver's clock minus the age sent. */
     public static LoadDigest fromWire(
             org.forkseam.wire.proto.LoadDigest d, String target, int capacity, long nowMillis) {
         return new LoadDigest(
@@ -51,7 +56,7 @@
                 nowMillis - Integer.toUnsignedLong(d.getAgeMillis()));
     }
 
-    /** Writes a change. */
+    /** Converts a configuration change. */
     public static org.forkseam.wire.proto.ConfigChange toWire(ConfigChange c) {
         return org.forkseam.wire.proto.ConfigChange.newBuilder()
                 .setVersion(c.version())
@@ -66,7 +71,7 @@
                 .build();
     }
 
-    /** Reads a change; the caller checks that it is intact. */
+    /** Converts a configuration change message without verifying its hash. */
     public static ConfigChange fromWire(org.forkseam.wire.proto.ConfigChange c) {
         Set<String> removed = new TreeSet<>(c.getRemovedList());
         return new ConfigChange(
@@ -81,15 +86,15 @@
                 removed);
     }
 
-    /** Writes changes that follow one another. */
-    public static ConfigPush push(List<ConfigChange> changes) {
+    /** Creates a push of consecutive changes. */
+    public static ConfigPush toConfigPush(List<ConfigChange> changes) {
         ConfigPush.Builder b = ConfigPush.newBuilder();
         changes.forEach(c -> b.addChanges(toWire(c)));
         return b.build();
     }
 
-    /** Writes a whole configuration. */
-    public static ConfigPush push(FleetConfig config) {
+    /** Creates a push of a full configuration. */
+    public static ConfigPush toConfigPush(FleetConfig config) {
         return ConfigPush.newBuilder()
                 .setWhole(true)
                 .addChanges(
@@ -100,8 +105,8 @@
                 .build();
     }
 
-    /** Reads a whole configuration. */
-    public static FleetConfig wholeFromWire(org.forkseam.wire.proto.ConfigChange c) {
+    /** Converts a full configuration. */
+    public static FleetConfig fullConfigFromWire(org.forkseam.wire.proto.ConfigChange c) {
         return FleetConfig.of(c.getVersion(), c.getHash(), sections(c.getSetList()));
     }
 
--- a/forkseam-wire/src/main/java/org/forkseam/wire/Link.java
+++ b/forkseam-wire/src/main/java/org/forkseam/wire/Link.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Is one proven connection to another daemon.
+ * An authenticated connection to another daemon.
  *
- * <p>Thread-safe. Packets sent from any thread go out in the order of the calls, several to one
- * write. What is sent is bounded by the streams' credit, so the link itself keeps no bound.
+ * <p>Thread-safe. Packets are sent in the order of the {@link #send} calls and flushed in batches.
+ * The send queue is unbounded; flow control is per stream.
  *
  * @since 0.1
  */
@@ -22,8 +22,8 @@
     private final Channel mChannel;
     private final Hello mPeer;
     private final boolean mOutgoing;
-    private final Queue<Packet> mOutbox = new ConcurrentLinkedQueue<>();
-    private final AtomicBoolean mDraining = new AtomicBoolean();
+    private final Queue<Packet> mSendQueue = new ConcurrentLinkedQueue<>();
+    private final AtomicBoolean mFlushScheduled = new AtomicBoolean();
     private final AtomicLong mLastReadNanos = new AtomicLong(System.nanoTime());
     private final AtomicLong mLastWriteNanos = new AtomicLong(System.nanoTime());
 
@@ -33,7 +33,7 @@
         mOutgoing = outgoing;
     }
 
-    /** Returns what the other side said of itself, after it proved the shared key. */
+    /** Returns the peer's authenticated {@code Hello}. */
     public Hello peer() {
         return mPeer;
     }
@@ -48,26 +48,26 @@
         return mChannel.isActive();
     }
 
-    /** Sends a packet; it is dropped if the link has closed, which the handler is told. */
+    /** Queues a packet for sending; it is dropped if the link has closed. */
     public void send(Packet packet) {
-        mOutbox.add(packet);
-        if (mDraining.compareAndSet(false, true)) {
-            mChannel.eventLoop().execute(this::drain);
+        mSendQueue.add(packet);
+        if (mFlushScheduled.compareAndSet(false, true)) {
+            mChannel.eventLoop().execute(this::flushSendQueue);
         }
     }
 
-    /** Closes the link at once. */
+    /** Closes the link immediately; queued packets may be lost. */
     public void close() {
         mChannel.close();
     }
 
-    /** Returns milliseconds since anything was read. */
-    public long silentMillis() {
+    /** Returns the milliseconds since the last read. */
+    public long millisSinceLastRead() {
         return (System.nanoTime() - mLastReadNanos.get()) / 1_000_000;
     }
 
-    /** Returns milliseconds since anything was sent. */
-    public long unsentMillis() {
+    /** Returns the milliseconds since the last write. */
+    public long millisSinceLastWrite() {
         return (System.nanoTime() - mLastWriteNanos.get()) / 1_000_000;
     }
 
@@ -75,10 +75,10 @@
         mLastReadNanos.set(System.nanoTime());
     }
 
-    private void drain() {
-        mDraining.set(false);
+    private void flushSendQueue() {
+        mFlushScheduled.set(false);
         boolean any = false;
-        for (Packet p = mOutbox.poll(); p != null; p = mOutbox.poll()) {
+        for (Packet p = mSendQueue.poll(); p != null; p = mSendQueue.poll()) {
             mChannel.write(p);
             any = true;
         }
--- a/forkseam-wire/src/main/java/org/forkseam/wire/LinkChannelHandler.java
+++ b/forkseam-wire/src/main/java/org/forkseam/wire/LinkChannelHandler.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Proves the key in both directions, then passes packets on.
+ * Performs the mutual challenge-response handshake, then passes packets to the {@link LinkHandler}.
  *
- * <p>The side that accepts speaks first with its nonce; the other answers with its proof and its
- * own nonce; the first closes the exchange with its proof. Whoever fails is cut off before any
- * packet of it is looked at.
+ * <p>The accepting side sends its nonce first, the connecting side replies with its proof and its
+ * own nonce, and the accepting side finishes with its proof. A peer that fails the handshake is
+ * disconnected before any other packet is processed. Confined to the channel's event loop.
  */
 final class LinkChannelHandler extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(LinkChannelHandler.class);
@@ -57,7 +57,7 @@
         mTimeout =
                 ctx.executor()
                         .schedule(
-                                () -> reject(ctx, "no proof in time"),
+                                () -> reject(ctx, "handshake timed out"),
                                 mSettings.handshakeMillis(),
                                 TimeUnit.MILLISECONDS);
         if (!isOutgoing()) {
@@ -78,7 +78,7 @@
             return;
         }
         if (!p.hasHello()) {
-            reject(ctx, "a packet before the proof");
+            reject(ctx, "packet received before the handshake completed");
             return;
         }
         onHello(ctx, p.getHello());
@@ -89,8 +89,8 @@
             sendHello(ctx, hello.getNonce());
             return;
         }
-        if (!mSettings.identity().proves(hello, mNonce)) {
-            reject(ctx, "a wrong proof");
+        if (!mSettings.identity().verifyProof(hello, mNonce)) {
+            reject(ctx, "invalid proof of the shared key");
             return;
         }
         mTimeout.cancel(false);
@@ -129,7 +129,8 @@
         if (mLink != null) {
             mHandler.onClosed(mLink);
         } else if (isOutgoing()) {
-            mOpened.completeExceptionally(new IOException("closed before the proof"));
+            mOpened.completeExceptionally(
+                    new IOException("connection closed before the handshake completed"));
         }
     }
 
--- a/forkseam-wire/src/main/java/org/forkseam/wire/LinkHandler.java
+++ b/forkseam-wire/src/main/java/org/forkseam/wire/LinkHandler.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * Receives what happens on a link. Called on the network thread; implementations hand over to the
- * daemon's event loop and return at once.
+ * Callback for link events. Called on the network thread; implementations must not block and hand
+ * events over to the daemon's event loop.
  *
  * @since 0.1
  */
 public interface LinkHandler {
-    /** Receives the packets that one read brought, in order. */
+    /** Receives the packets of one read, in order. */
     void onPackets(Link link, List<Packet> packets);
 
-    /** Receives the end of a link that had been opened. */
+    /** Called when an established link has closed. */
     void onClosed(Link link);
 }
--- a/forkseam-wire/src/main/java/org/forkseam/wire/LinkInitializer.java
+++ b/forkseam-wire/src/main/java/org/forkseam/wire/LinkInitializer.java
@@ -18,7 +18,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Sets up the handlers of a new connection, the same on both sides. */
+/** Installs the channel pipeline of a new connection, for both directions. Thread-safe. */
 final class LinkInitializer extends ChannelInitializer<Channel> {
     private static final int LENGTH_BYTES = 4;
 
@@ -29,7 +29,7 @@
     private final ChannelGroup mChannels;
     private final CompletableFuture<Link> mOpened;
 
-    /** Creates the set-up; {@code opened} is null on the side that accepts. */
+    /** Creates an initializer; {@code opened} is null for accepted connections. */
     LinkInitializer(
             WireSettings settings,
             LinkHandler handler,
@@ -56,12 +56,12 @@
         p.addLast(new ProtobufDecoder(Packet.getDefaultInstance()));
         p.addLast(new LengthFieldPrepender(LENGTH_BYTES));
         p.addLast(new ProtobufEncoder());
-        p.addLast(new Counter());
+        p.addLast(new SentPacketCounter());
         p.addLast(new LinkChannelHandler(mSettings, mHandler, mCounters, mOpened));
     }
 
     /** Counts the packets sent. */
-    private final class Counter extends ChannelOutboundHandlerAdapter {
+    private final class SentPacketCounter extends ChannelOutboundHandlerAdapter {
         @Override
         public void write(ChannelHandlerContext ctx, Object msg, ChannelPromise promise) {
             if (msg instanceof Packet p) {
--- a/forkseam-wire/src/main/java/org/forkseam/wire/WireCounters.java
+++ b/forkseam-wire/src/main/java/org/forkseam/wire/WireCounters.java
@@ -4,7 +4,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts what crosses the links of a daemon, control apart from requests and answers. */
+/** Traffic counters of a daemon's links, separating control from data. Thread-safe. */
 public final class WireCounters {
     private final LongAdder mControlBytes = new LongAdder();
     private final LongAdder mDataBytes = new LongAdder();
@@ -12,27 +12,27 @@
     private final LongAdder mRejectedPeers = new LongAdder();
     private final LongAdder mMalformed = new LongAdder();
 
-    /** Returns bytes sent that are not part of requests and answers. */
+    /** Returns the bytes of control traffic sent. */
     public long controlBytes() {
         return mControlBytes.sum();
     }
 
-    /** Returns bytes of requests and answers sent. */
+    /** Returns the bytes of requests and responses sent. */
     public long dataBytes() {
         return mDataBytes.sum();
     }
 
-    /** Returns answer frames sent. */
+    /** Returns the number of response frames sent. */
     public long frames() {
         return mFrames.sum();
     }
 
-    /** Returns connections closed since the other side did not prove the key in time. */
+    /** Returns the number of connections closed because the handshake failed or timed out. */
     public long rejectedPeers() {
         return mRejectedPeers.sum();
     }
 
-    /** Returns connections closed since a packet was oversized or could not be read. */
+    /** Returns the number of connections closed because of an oversized or undecodable packet. */
     public long malformed() {
         return mMalformed.sum();
     }
@@ -52,17 +52,17 @@
                 mFrames.increment();
                 mDataBytes.add(size);
             }
-            case SUBMIT -> addWithDigests(size, p.getSubmit().getDigestsList());
-            case HEAD -> addWithDigests(size, p.getHead().getDigestsList());
-            case END -> addWithDigests(size, p.getEnd().getDigestsList());
-            case REFUSAL -> addWithDigests(size, p.getRefusal().getDigestsList());
+            case SUBMIT -> addPacketWithDigests(size, p.getSubmit().getDigestsList());
+            case HEAD -> addPacketWithDigests(size, p.getHead().getDigestsList());
+            case END -> addPacketWithDigests(size, p.getEnd().getDigestsList());
+            case REFUSAL -> addPacketWithDigests(size, p.getRefusal().getDigestsList());
             case CANCEL, RESUME -> mDataBytes.add(size);
             default -> mControlBytes.add(size);
         }
     }
 
-    /** Digests ride on data packets but are control traffic all the same. */
-    private void addWithDigests(
+    /** Counts digests piggybacked on a data packet as control traffic. */
+    private void addPacketWithDigests(
             int size, java.util.List<org.forkseam.wire.proto.LoadDigest> digests) {
         int control = 0;
         for (org.forkseam.wire.proto.LoadDigest d : digests) {
--- a/forkseam-wire/src/main/java/org/forkseam/wire/WireIdentity.java
+++ b/forkseam-wire/src/main/java/org/forkseam/wire/WireIdentity.java
@@ -13,16 +13,16 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Says who a daemon is and proves that it holds the fleet's shared key.
+ * Identity of a daemon, with the shared key that authenticates it to its peers.
  *
- * <p>Each side draws a nonce, and the other sends an HMAC over it and its own name; the key itself
- * never travels. Immutable.
+ * <p>Each side sends a random nonce and the other replies with an HMAC over the nonce and its own
+ * host and role, so the key itself is never transmitted. Immutable.
  *
- * @param host the daemon's host
- * @param role its role
- * @param target the target beside it, or empty
- * @param incarnation grows at each start
- * @param key the fleet's shared key
+ * @param host host of the daemon
+ * @param role role of the daemon
+ * @param target target served by the daemon, or empty
+ * @param incarnation number that increases with each start of the daemon
+ * @param key shared key of the fleet
  * @since 0.1
  */
 public record WireIdentity(
@@ -31,7 +31,7 @@
     private static final int NONCE_BYTES = 16;
     private static final SecureRandom RANDOM = new SecureRandom();
 
-    /** Creates an identity with a key given as text. */
+    /** Creates an identity from a key given as text. */
     public static WireIdentity of(
             String host, String role, String target, long incarnation, String key) {
         return new WireIdentity(host, role, target, incarnation, ByteString.copyFromUtf8(key));
@@ -50,24 +50,27 @@
                 .setTarget(target)
                 .setIncarnation(incarnation)
                 .setNonce(ownNonce)
-                .setProof(otherNonce.isEmpty() ? ByteString.EMPTY : proof(otherNonce, host, role))
+                .setProof(
+                        otherNonce.isEmpty()
+                                ? ByteString.EMPTY
+                                : computeProof(otherNonce, host, role))
                 .build();
     }
 
-    boolean proves(Hello hello, ByteString ownNonce) {
-        ByteString expected = proof(ownNonce, hello.getHost(), hello.getRole());
+    boolean verifyProof(Hello hello, ByteString ownNonce) {
+        ByteString expected = computeProof(ownNonce, hello.getHost(), hello.getRole());
         return MessageDigest.isEqual(expected.toByteArray(), hello.getProof().toByteArray());
     }
 
-    private ByteString proof(ByteString nonce, String name, String itsRole) {
+    private ByteString computeProof(ByteString nonce, String peerHost, String peerRole) {
         try {
             Mac m = Mac.getInstance(ALGORITHM);
             m.init(new SecretKeySpec(key.toByteArray(), ALGORITHM));
             m.update(nonce.toByteArray());
-            m.update((name + "\n" + itsRole).getBytes(StandardCharsets.UTF_8));
+            m.update((peerHost + "\n" + peerRole).getBytes(StandardCharsets.UTF_8));
             return ByteString.copyFrom(m.doFinal());
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+            throw new IllegalStateException("Mac algorithm not available: " + ALGORITHM, e);
         }
     }
 }
--- a/forkseam-wire/src/main/java/org/forkseam/wire/WireSettings.java
+++ b/forkseam-wire/src/main/java/org/forkseam/wire/WireSettings.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * Sets how a daemon talks to others.
+ * Settings of the connections between daemons. Immutable.
  *
- * @param identity who this daemon is
- * @param maxPacketBytes a greater packet closes the connection
- * @param handshakeMillis time for the other side to prove the key
- * @param connectMillis time for a connection to open
+ * @param identity identity and shared key of this daemon
+ * @param maxPacketBytes largest packet accepted; a larger one closes the connection
+ * @param handshakeMillis time limit of the handshake
+ * @param connectMillis time limit for opening a connection
  * @param tls PEM files for TLS, or empty for plain TCP
  * @since 0.1
  */
@@ -23,15 +23,15 @@
     private static final int CONNECT_MILLIS = 1_000;
 
     /**
-     * Names the PEM files of TLS between daemons.
+     * PEM files for TLS between daemons.
      *
-     * @param certificate chain of this daemon
-     * @param key its private key
-     * @param authority certificates that peers must be signed by
+     * @param certificate certificate chain of this daemon
+     * @param key private key of this daemon
+     * @param authority CA certificates that peers are verified against
      */
     public record Tls(String certificate, String key, String authority) {}
 
-    /** Returns the defaults for an identity. */
+    /** Returns the default settings for an identity. */
     public static WireSettings of(WireIdentity identity) {
         return new WireSettings(
                 identity, MAX_PACKET_BYTES, HANDSHAKE_MILLIS, CONNECT_MILLIS, Optional.empty());
--- a/forkseam-wire/src/main/java/org/forkseam/wire/Wire.java
+++ b/forkseam-wire/src/main/java/org/forkseam/wire/WireTransport.java
@@ -26,13 +26,13 @@
 import javax.net.ssl.SSLException;
 
 /**
- * Opens and accepts links to other daemons.
+ * Opens and accepts {@link Link}s to other daemons.
  *
  * <p>Thread-safe between {@link #start} and {@link #stop}.
  *
  * @since 0.1
  */
-public final class Wire {
+public final class WireTransport {
     private static final int STOP_MILLIS = 2_000;
 
     private final WireSettings mSettings;
@@ -44,19 +44,19 @@
     private Optional<SslContext> mServerSsl = Optional.empty();
     private Optional<SslContext> mClientSsl = Optional.empty();
 
-    private Wire(WireSettings settings, LinkHandler handler) {
+    private WireTransport(WireSettings settings, LinkHandler handler) {
         mSettings = settings;
         mHandler = handler;
     }
 
-    /** Creates a wire that reports to a handler. */
-    public static Wire of(WireSettings settings, LinkHandler handler) {
-        return new Wire(settings, handler);
+    /** Creates a transport that reports link events to a handler. */
+    public static WireTransport of(WireSettings settings, LinkHandler handler) {
+        return new WireTransport(settings, handler);
     }
 
-    // ---------------------------------------------------------------- life-cycle
+    // ---------------------------------------------------------------- lifecycle
 
-    /** Starts the network thread, and listens if an address is given. */
+    /** Starts the network thread and listens on the address, if given. */
     public void start(Optional<InetSocketAddress> listen) {
         if (mSettings.tls().isPresent()) {
             loadTls(mSettings.tls().get());
@@ -77,7 +77,7 @@
                                     .trustManager(ca)
                                     .clientAuth(ClientAuth.REQUIRE)
                                     .build());
-            // Daemons are known by IP numbers, so what counts is the signer and not a host name.
+            // Peers are addressed by IP; they are authenticated by CA, not by host name.
             mClientSsl =
                     Optional.of(
                             SslContextBuilder.forClient()
@@ -111,24 +111,24 @@
         if (mGroup.isShutdown()) {
             return;
         }
-        // Netty's shutdown alone left accepted connections open, and peers took 4 s to notice.
+        // shutdownGracefully alone leaves accepted connections open.
         mChannels.close().awaitUninterruptibly();
         mGroup.shutdownGracefully(0, STOP_MILLIS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
     // ---------------------------------------------------------------- public API
 
-    /** Returns the address on which others are accepted. */
+    /** Returns the address listened on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) mListening.localAddress();
     }
 
-    /** Returns what this wire has counted. */
+    /** Returns the traffic counters. */
     public WireCounters counters() {
         return mCounters;
     }
 
-    /** Opens a link; the future fails if the other side is not there or does not prove the key. */
+    /** Opens a link; the future fails if the connection or the handshake fails. */
     public CompletableFuture<Link> connect(InetSocketAddress address) {
         CompletableFuture<Link> opened = new CompletableFuture<>();
         new Bootstrap()
--- a/forkseam-wire/src/main/java/org/forkseam/wire/package-info.java
+++ b/forkseam-wire/src/main/java/org/forkseam/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between forkseam's own processes: protobuf over Netty, with proof of a shared key. */
+/** Protobuf messaging between daemons over Netty, authenticated by a shared key. */
 package org.forkseam.wire;
--- a/forkseam-wire/src/test/java/org/forkseam/wire/WireTest.java
+++ b/forkseam-wire/src/test/java/org/forkseam/wire/WireTransportTest.java
@@ -23,20 +23,19 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Contract of the links between daemons, bad peers included. */
-class WireTest {
+/** Guards packet order, closing, authentication and the handling of malformed input. */
+class WireTransportTest {
     private static final long WAIT_SECONDS = 20;
 
-    /** A first handshake loads its classes; beside other work that has taken over half a second. */
     private static final int HANDSHAKE_MILLIS = 3_000;
 
-    private final Recorder mAtServer = new Recorder();
-    private final Recorder mAtClient = new Recorder();
-    private final Wire mServer = wire("server", "shared-key", mAtServer);
-    private final Wire mClient = wire("client", "shared-key", mAtClient);
+    private final RecordingHandler mAtServer = new RecordingHandler();
+    private final RecordingHandler mAtClient = new RecordingHandler();
+    private final WireTransport mServer = wire("server", "shared-key", mAtServer);
+    private final WireTransport mClient = wire("client", "shared-key", mAtClient);
 
-    /** Records what a handler receives. */
-    private static final class Recorder implements LinkHandler {
+    /** Records the events received. */
+    private static final class RecordingHandler implements LinkHandler {
         final BlockingQueue<Packet> mPackets = new LinkedBlockingQueue<>();
         final BlockingQueue<Link> mClosed = new LinkedBlockingQueue<>();
 
@@ -51,10 +50,10 @@
         }
     }
 
-    private static Wire wire(String host, String key, LinkHandler handler) {
+    private static WireTransport wire(String host, String key, LinkHandler handler) {
         WireIdentity id = WireIdentity.of(host, "router", "", 1, key);
         WireSettings s = new WireSettings(id, 64 << 10, HANDSHAKE_MILLIS, 1000, Optional.empty());
-        return Wire.of(s, handler);
+        return WireTransport.of(s, handler);
     }
 
     @BeforeEach
@@ -96,40 +95,40 @@
     }
 
     @Test
-    void wrongKeyIsTurnedAwayAndCounted() {
-        Wire stranger = wire("stranger", "another-key", new Recorder());
-        stranger.start(Optional.empty());
-        assertThrows(ExecutionException.class, () -> stranger.connect(mServer.address()).get());
+    void wrongKeyIsRejectedAndCounted() {
+        WireTransport unauthorized = wire("stranger", "another-key", new RecordingHandler());
+        unauthorized.start(Optional.empty());
+        assertThrows(ExecutionException.class, () -> unauthorized.connect(mServer.address()).get());
         assertThat(mServer.counters().rejectedPeers()).isEqualTo(1);
-        stranger.stop();
+        unauthorized.stop();
     }
 
     @ParameterizedTest
     @ValueSource(
             strings = {
-                "7fffffff", // a packet of 2 GB announced
-                "00000004ffffffff", // not protobuf
-                "000000020a00", // a packet that is no Hello
+                "7fffffff", // length prefix of 2 GB
+                "00000004ffffffff", // invalid protobuf
+                "000000020a00", // packet without a Hello
                 "474554202f20485454502f312e310d0a0d0a", // an HTTP request
-                "0000", // cut in the middle, then silence
-                "" // nothing at all
+                "0000", // truncated length prefix, then idle
+                "" // connects but sends nothing
             })
-    void badPeerIsClosedAndHarmsNoOther(String hex) throws Exception {
-        Link good = mClient.connect(mServer.address()).get();
-        try (Socket bad = new Socket()) {
-            bad.connect(mServer.address());
-            bad.getOutputStream().write(HexFormat.of().parseHex(hex));
-            bad.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
-            InputStream in = bad.getInputStream();
+    void malformedInputClosesOnlyItsOwnConnection(String hex) throws Exception {
+        Link healthy = mClient.connect(mServer.address()).get();
+        try (Socket malformed = new Socket()) {
+            malformed.connect(mServer.address());
+            malformed.getOutputStream().write(HexFormat.of().parseHex(hex));
+            malformed.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
+            InputStream in = malformed.getInputStream();
             while (in.read() >= 0) {
-                // The server's own Hello comes first, then the end.
+                // Reads the server's Hello until the connection is closed.
             }
         } catch (java.net.SocketException e) {
             assertThat(e).hasMessageThat().contains("reset");
         }
         long counted = mServer.counters().rejectedPeers() + mServer.counters().malformed();
         assertThat(counted).isAtLeast(1);
-        good.send(packet(7));
+        healthy.send(packet(7));
         assertThat(mAtServer.mPackets.poll(WAIT_SECONDS, TimeUnit.SECONDS)).isNotNull();
     }
 }
