--- a/forkseam-bench/src/main/java/org/forkseam/bench/Bench.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/Bench.java
@@ -13,7 +13,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Measures placements under conditions on whole fleets, prints a table and writes CSV and a plot.
+ * Benchmarks placements on local fleets under several conditions; prints the results and writes
+ * them as CSV and as a plot. Not thread-safe.
  */
 public final class Bench {
     private static final int WARM_UP_SECONDS = 8;
@@ -58,7 +59,7 @@
 
     private Bench() {}
 
-    /** Runs the measurements asked for. */
+    /** Runs the benchmarks selected by the options. */
     public static void main(String[] args) throws Exception {
         Bench b = new Bench();
         CmdLineParser parser = new CmdLineParser(b);
@@ -74,9 +75,9 @@
         } else if (b.mOverhead) {
             Overhead.run(b.mRate, b.mSeconds);
         } else if (b.mSpread > 1) {
-            Spread.run(b.mSpread);
+            ConfigPropagation.run(b.mSpread);
         } else if (b.mFrames) {
-            Frames.run();
+            FrameThroughput.run();
         } else {
             b.run();
         }
@@ -84,7 +85,7 @@
     }
 
     private void run() throws Exception {
-        // The first run in a fresh process is slower than all that follow.
+        // JVM warm-up; the result is discarded.
         Trace.Shape warmUp = new Trace.Shape(WARM_UP_SECONDS, mRate, mChats, 10, false);
         Experiment.run(new Experiment.Plan("ertis", "quiet", "two-choices", warmUp, mSeed));
         List<Map<String, Object>> rows = new ArrayList<>();
--- a/forkseam-bench/src/main/java/org/forkseam/bench/Operator.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/CliRunner.java
@@ -11,25 +11,25 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Drives a fleet through the operators' command line. */
-public final class Operator {
+/** Runs commands of the command line in this process. Thread-safe. */
+public final class CliRunner {
     private final Map<String, String> mEnvironment;
 
-    private Operator(Map<String, String> environment) {
+    private CliRunner(Map<String, String> environment) {
         mEnvironment = environment;
     }
 
-    /** Holds what a command printed and its exit code. */
+    /** Exit code and output of a command. */
     public record Result(int code, String out, String err) {}
 
-    /** Creates an operator who talks to one daemon. */
-    public static Operator of(Daemon daemon) {
-        return at(LocalFleet.text(daemon.operatorsAddress()), LocalFleet.OPERATORS_KEY);
+    /** Creates a runner for a daemon. */
+    public static CliRunner of(Daemon daemon) {
+        return at(LocalFleet.toHostPort(daemon.operatorsAddress()), LocalFleet.OPERATORS_KEY);
     }
 
-    /** Creates an operator who talks to the daemon at an address. */
-    public static Operator at(String address, String key) {
-        return new Operator(Map.of("FORKSEAM_ADDRESS", address, "FORKSEAM_KEY", key));
+    /** Creates a runner for the daemon at an address. */
+    public static CliRunner at(String address, String key) {
+        return new CliRunner(Map.of("FORKSEAM_ADDRESS", address, "FORKSEAM_KEY", key));
     }
 
     /** Runs a command. */
--- a/forkseam-bench/src/main/java/org/forkseam/bench/DecisionBenchmark.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/DecisionBenchmark.java
@@ -33,7 +33,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** Times one placement decision in pools of several sizes, and a change of members. */
+/** Benchmarks placement decisions and membership changes for several pool sizes. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -43,7 +43,7 @@
 public class DecisionBenchmark {
     private static final int CAPACITY = 32;
 
-    /** Targets of the pool. */
+    /** Number of targets in the pool. */
     @Param({"12", "70", "830"})
     public int mTargets;
 
@@ -60,7 +60,7 @@
         new Runner(new OptionsBuilder().include(name).build()).run();
     }
 
-    /** Makes the pool. */
+    /** Creates the pool. */
     @Setup
     public void setUp() {
         for (int i = 0; i < mTargets; i++) {
@@ -80,7 +80,7 @@
         mPool = PoolView.of(s, mViews);
     }
 
-    /** Ranks the candidates of one request; the time moves on as with 20 requests a second. */
+    /** Ranks the candidates of one request. */
     @Benchmark
     public List<Candidate> decide() {
         mNow += 1;
@@ -90,10 +90,10 @@
         return mPlacement.rank(r, mPool, mNow);
     }
 
-    /** Takes one target out of the pool and puts it back. */
+    /** Removes a target from the pool and adds it again. */
     @Benchmark
     public PoolView changeMembers() {
-        PoolView less = mPool.with(mPool.spec(), mViews.subList(1, mTargets));
-        return less.with(mPool.spec(), mViews);
+        PoolView reduced = mPool.with(mPool.spec(), mViews.subList(1, mTargets));
+        return reduced.with(mPool.spec(), mViews);
     }
 }
--- a/forkseam-bench/src/main/java/org/forkseam/bench/Experiment.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/Experiment.java
@@ -20,22 +20,22 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Runs one trace through one fleet with one placement and measures what came of it. */
+/** Replays a trace on a local fleet with one placement and collects the results. Not reusable. */
 final class Experiment {
-    private static final int TURNS_KEPT = 8;
+    private static final int MAX_TURNS = 8;
     private static final long SAMPLE_MILLIS = 20;
     private static final long RAMP_UP_MILLIS = 2_000;
     private static final String MODEL = "lm";
     private static final EngineStandin.Speed SPEED = new EngineStandin.Speed(32, 8, 20, 48_000);
 
     /**
-     * Describes an experiment.
+     * Parameters of an experiment.
      *
      * @param deployment {@code ertis} or {@code association}
      * @param condition {@code quiet}, {@code surge}, {@code churn} or {@code outage}
      * @param placement name of the placement
-     * @param shape of the trace
-     * @param seed of the trace
+     * @param shape parameters of the trace
+     * @param seed seed of the trace
      */
     record Plan(
             String deployment, String condition, String placement, Trace.Shape shape, long seed) {}
@@ -43,11 +43,11 @@
     private final Plan mPlan;
     private final LocalFleet mFleet;
     private final List<Daemon> mRouters = new ArrayList<>();
-    private final Caller mCaller = new Caller();
+    private final RouterClient mClient = new RouterClient();
     private final Map<Integer, Chat> mChats = new ConcurrentHashMap<>();
-    private final Histogram mFirstToken = new ConcurrentHistogram(60_000, 3);
-    private final Histogram mQuietTeams = new ConcurrentHistogram(60_000, 3);
-    private final Histogram mSkew = new Histogram(100_000, 3);
+    private final Histogram mTimeToFirstToken = new ConcurrentHistogram(60_000, 3);
+    private final Histogram mNonSurgingTimeToFirstToken = new ConcurrentHistogram(60_000, 3);
+    private final Histogram mLoadSkew = new Histogram(100_000, 3);
     private final AtomicLong mPromptTokens = new AtomicLong();
     private final AtomicLong mReusedTokens = new AtomicLong();
     private final AtomicLong mIdealTokens = new AtomicLong();
@@ -57,16 +57,16 @@
     private final AtomicInteger mFalseNotRun = new AtomicInteger();
     private final Map<String, AtomicInteger> mRefused = new ConcurrentHashMap<>();
     private final Set<String> mNotRunIds = ConcurrentHashMap.newKeySet();
-    private final Set<String> mSystemsSeen = ConcurrentHashMap.newKeySet();
+    private final Set<String> mSystemPromptsSeen = ConcurrentHashMap.newKeySet();
     private volatile boolean mSampling = true;
-    private volatile boolean mSteady;
+    private volatile boolean mPastRampUp;
 
-    /** Holds a chat as its caller does. */
+    /** Client-side state of a chat. */
     private static final class Chat {
-        final List<Caller.Message> mMessages = new ArrayList<>();
+        final List<RouterClient.Message> mMessages = new ArrayList<>();
         String mTicket = "";
-        int mHeldTokens;
-        int mStarts;
+        int mReusableTokens;
+        int mRestarts;
     }
 
     private Experiment(Plan plan, LocalFleet fleet) {
@@ -74,7 +74,7 @@
         mFleet = fleet;
     }
 
-    /** Runs an experiment and returns its figures by name. */
+    /** Runs an experiment and returns the results by name. */
     static Map<String, Object> run(Plan plan) throws Exception {
         try (LocalFleet fleet = LocalFleet.start(plan.seed())) {
             return new Experiment(plan, fleet).run();
@@ -93,23 +93,23 @@
             mRouters.add(mFleet.addRouter("entry-" + i, domains[i % 3], mPlan.placement()));
         }
         for (int i = 0; i < 12; i++) {
-            mFleet.addEngine(engine(i), domains[i % domains.length], MODEL, SPEED);
+            mFleet.addEngine(engineName(i), domains[i % domains.length], MODEL, SPEED);
         }
         for (int i = 0; i < (ertis ? 4 : 3); i++) {
             mFleet.addService("svc-" + i, domains[i % domains.length], "svc", 32);
         }
-        Operator operator = Operator.of(mRouters.get(0));
+        CliRunner cli = CliRunner.of(mRouters.get(0));
         int targets = 12 + (ertis ? 4 : 3);
-        Waiting.until(
+        Await.until(
                 "targets seen",
-                () -> operator.run("get", "targets").out().lines().count() == targets + 1);
-        operator.apply(config(ertis));
+                () -> cli.run("get", "targets").out().lines().count() == targets + 1);
+        cli.apply(config(ertis));
         mFleet.waitForConfig(1);
-        drive();
-        return figures();
+        replayTrace();
+        return results();
     }
 
-    private static String engine(int i) {
+    private static String engineName(int i) {
         return "lm-%02d".formatted(i);
     }
 
@@ -132,15 +132,15 @@
                 .formatted(ertis ? "skew" : "reuse", ertis ? "1.25" : "1.5");
     }
 
-    // ---------------------------------------------------------------- driving
+    // ---------------------------------------------------------------- replay
 
-    private void drive() throws Exception {
+    private void replayTrace() throws Exception {
         List<Trace.Request> trace = Trace.of(mPlan.shape(), mPlan.seed());
         Thread sampler = new Thread(this::sample, "sampler");
         sampler.start();
-        Thread faults = new Thread(this::disturb, "faults");
+        Thread faults = new Thread(this::injectFaults, "faults");
         faults.start();
-        ExecutorService callers = Executors.newCachedThreadPool();
+        ExecutorService executor = Executors.newCachedThreadPool();
         long start = System.currentTimeMillis();
         int n = 0;
         for (Trace.Request r : trace) {
@@ -148,13 +148,13 @@
             if (wait > 0) {
                 Thread.sleep(wait);
             }
-            mSteady = r.atMillis() > RAMP_UP_MILLIS;
+            mPastRampUp = r.atMillis() > RAMP_UP_MILLIS;
             int id = n++;
-            callers.execute(() -> send(r, id));
+            executor.execute(() -> send(r, id));
         }
-        mSteady = false;
-        callers.shutdown();
-        callers.awaitTermination(60, TimeUnit.SECONDS);
+        mPastRampUp = false;
+        executor.shutdown();
+        executor.awaitTermination(60, TimeUnit.SECONDS);
         mSampling = false;
         sampler.join();
         faults.join();
@@ -180,65 +180,67 @@
         if (r.unrepeatable()) {
             h.put("Unrepeatable", "true");
         }
-        Caller.Answer a = mCaller.send(router, "POST", "/services/svc/do/" + n, "b" + n, h);
-        judge(a, id, a.text().endsWith("b" + n));
+        RouterClient.Response a = mClient.send(router, "POST", "/services/svc/do/" + n, "b" + n, h);
+        recordOutcome(a, id, a.text().endsWith("b" + n));
     }
 
     private void chat(InetSocketAddress router, Trace.Request r, int n)
             throws InterruptedException {
         Chat c = mChats.computeIfAbsent(r.chat(), k -> new Chat());
         synchronized (c) {
-            // A chat goes on where it was; after some turns it starts again.
-            if (c.mMessages.size() >= 2 * TURNS_KEPT) {
+            // Restarts the chat after MAX_TURNS turns.
+            if (c.mMessages.size() >= 2 * MAX_TURNS) {
                 c.mMessages.clear();
-                c.mStarts++;
+                c.mRestarts++;
                 c.mTicket = "";
-                c.mHeldTokens = 0;
+                c.mReusableTokens = 0;
             }
             if (c.mMessages.isEmpty()) {
-                c.mMessages.add(Trace.system("team-" + r.chat() % mPlan.shape().teams()));
+                c.mMessages.add(Trace.systemPrompt("team-" + r.chat() % mPlan.shape().teams()));
             }
-            c.mMessages.add(Trace.question(r.chat(), r.turn()));
+            c.mMessages.add(Trace.userPrompt(r.chat(), r.turn()));
             String id = "q" + n;
             Map<String, String> h = new HashMap<>(Map.of("Team", r.team(), "Request-Id", id));
-            h.put("Chat-Id", "chat-" + r.chat() + "-" + c.mStarts);
+            h.put("Chat-Id", "chat-" + r.chat() + "-" + c.mRestarts);
             if (!c.mTicket.isEmpty()) {
                 h.put("Ticket", c.mTicket);
             }
-            String body = Caller.body(MODEL, c.mMessages, r.tokens(), true);
-            Caller.Timed t = mCaller.timed(router, body, h);
+            String body = RouterClient.chatBody(MODEL, c.mMessages, r.tokens(), true);
+            RouterClient.TimedResponse t = mClient.chatTimed(router, body, h);
             String prompt = prompt(c.mMessages);
-            boolean right = t.answer().text().equals(EngineStandin.answerTo(prompt, r.tokens()));
-            judge(t.answer(), id, right && t.answer().whole());
-            if (t.answer().status() == 200 && t.answer().whole()) {
-                note(r, c, t, prompt);
+            boolean right =
+                    t.response().text().equals(EngineStandin.expectedAnswer(prompt, r.tokens()));
+            recordOutcome(t.response(), id, right && t.response().complete());
+            if (t.response().status() == 200 && t.response().complete()) {
+                recordCompleted(r, c, t, prompt);
             } else {
                 c.mMessages.remove(c.mMessages.size() - 1);
             }
         }
     }
 
-    private static String prompt(List<Caller.Message> messages) {
+    private static String prompt(List<RouterClient.Message> messages) {
         StringBuilder sb = new StringBuilder();
         messages.forEach(m -> sb.append(m.content()));
         return sb.toString();
     }
 
-    private void note(Trace.Request r, Chat c, Caller.Timed t, String prompt) {
-        mFirstToken.recordValue(Math.min(60_000, t.firstMillis()));
+    private void recordCompleted(
+            Trace.Request r, Chat c, RouterClient.TimedResponse t, String prompt) {
+        mTimeToFirstToken.recordValue(Math.min(60_000, t.firstLineMillis()));
         if (!r.team().equals("team-0") && !r.team().equals("team-1")) {
-            mQuietTeams.recordValue(Math.min(60_000, t.firstMillis()));
+            mNonSurgingTimeToFirstToken.recordValue(Math.min(60_000, t.firstLineMillis()));
         }
         int tokens = prompt.length() / 4;
-        int shared = mSystemsSeen.add(c.mMessages.get(0).content()) ? 0 : 400;
+        int shared = mSystemPromptsSeen.add(c.mMessages.get(0).content()) ? 0 : 400;
         mPromptTokens.addAndGet(tokens);
-        mIdealTokens.addAndGet(Math.min(tokens, Math.max(c.mHeldTokens, shared)));
-        c.mMessages.add(new Caller.Message("assistant", t.answer().text()));
-        c.mHeldTokens = (prompt.length() + t.answer().text().length()) / 4;
-        c.mTicket = t.answer().header("ticket");
+        mIdealTokens.addAndGet(Math.min(tokens, Math.max(c.mReusableTokens, shared)));
+        c.mMessages.add(new RouterClient.Message("assistant", t.response().text()));
+        c.mReusableTokens = (prompt.length() + t.response().text().length()) / 4;
+        c.mTicket = t.response().header("ticket");
     }
 
-    private void judge(Caller.Answer a, String id, boolean right) {
+    private void recordOutcome(RouterClient.Response a, String id, boolean right) {
         if (a.status() == 200 && right) {
             mAnswered.incrementAndGet();
             return;
@@ -246,7 +248,7 @@
         String outcome = a.header("outcome");
         if (outcome.equals("not-run")) {
             mNotRunIds.add(id);
-            mRefused.computeIfAbsent(reason(a), k -> new AtomicInteger()).incrementAndGet();
+            mRefused.computeIfAbsent(errorCode(a), k -> new AtomicInteger()).incrementAndGet();
         } else if (outcome.equals("may-have-run") || outcome.equals("failed")) {
             mMayHaveRun.incrementAndGet();
         } else {
@@ -254,26 +256,26 @@
         }
     }
 
-    private static String reason(Caller.Answer a) {
+    private static String errorCode(RouterClient.Response a) {
         int at = a.text().indexOf("\"code\":\"");
         return at < 0 ? "?" : a.text().substring(at + 8, a.text().indexOf('"', at + 8));
     }
 
     // ---------------------------------------------------------------- faults
 
-    private void disturb() {
+    private void injectFaults() {
         long third = mPlan.shape().seconds() * 1000L / 3;
         try {
             switch (mPlan.condition()) {
                 case "churn" -> churn(third);
                 case "outage" -> {
                     Thread.sleep(third);
-                    mFleet.platform().table().setDown(true);
+                    mFleet.platform().tableFaults().setDown(true);
                     Thread.sleep(third);
-                    mFleet.platform().table().setDown(false);
+                    mFleet.platform().tableFaults().setDown(false);
                 }
                 default -> {
-                    // Nothing is disturbed.
+                    // No faults.
                 }
             }
         } catch (Exception e) {
@@ -281,25 +283,25 @@
         }
     }
 
-    /** A host is lost, another leaves, two join, and one flaps in the list. */
+    /** Kills a host, stops a leaving one, adds two and toggles the leaving state of another. */
     private void churn(long third) throws Exception {
         Thread.sleep(third);
-        mFleet.killTarget(engine(0));
-        mFleet.platform().removeHost("host-" + engine(0));
+        mFleet.killTarget(engineName(0));
+        mFleet.platform().removeHost("host-" + engineName(0));
         Thread.sleep(third / 4);
-        mFleet.setLeaving(engine(1), "hall-b", true);
-        mFleet.stopSidecar(engine(1));
-        mFleet.platform().removeHost("host-" + engine(1));
+        mFleet.setLeaving(engineName(1), "hall-b", true);
+        mFleet.stopSidecar(engineName(1));
+        mFleet.platform().removeHost("host-" + engineName(1));
         Thread.sleep(third / 4);
-        mFleet.addEngine(engine(12), "hall-a", MODEL, SPEED);
-        mFleet.addEngine(engine(13), "hall-b", MODEL, SPEED);
+        mFleet.addEngine(engineName(12), "hall-a", MODEL, SPEED);
+        mFleet.addEngine(engineName(13), "hall-b", MODEL, SPEED);
         for (int i = 0; i < 4; i++) {
             Thread.sleep(third / 8);
-            mFleet.setLeaving(engine(2), "hall-c", i % 2 == 0);
+            mFleet.setLeaving(engineName(2), "hall-c", i % 2 == 0);
         }
     }
 
-    // ---------------------------------------------------------------- figures
+    // ---------------------------------------------------------------- results
 
     private void sample() {
         while (mSampling) {
@@ -312,9 +314,9 @@
                 count++;
             }
             double mean = (double) sum / Math.max(1, count);
-            if (mSteady && mean >= 4) {
-                // Below four each, one request more or less decides the ratio.
-                mSkew.recordValue(Math.min(100_000, Math.round(max / mean * 1000)));
+            if (mPastRampUp && mean >= 4) {
+                // At lower load, a single request distorts the ratio.
+                mLoadSkew.recordValue(Math.min(100_000, Math.round(max / mean * 1000)));
             }
             try {
                 Thread.sleep(SAMPLE_MILLIS);
@@ -324,7 +326,7 @@
         }
     }
 
-    private double total(String name) {
+    private double counterTotal(String name) {
         double sum = 0;
         for (Daemon d : mFleet.daemons()) {
             var m = d.registry().find(name).counter();
@@ -333,7 +335,7 @@
         return sum;
     }
 
-    private double control(boolean routers) {
+    private double controlBytesPerSecond(boolean routers) {
         double sum = 0;
         int n = 0;
         for (Daemon d : mFleet.daemons()) {
@@ -345,8 +347,8 @@
         return sum / n / mPlan.shape().seconds();
     }
 
-    private Map<String, Object> figures() {
-        mReusedTokens.set((long) total("forkseam.sidecar.cached.tokens"));
+    private Map<String, Object> results() {
+        mReusedTokens.set((long) counterTotal("forkseam.sidecar.cached.tokens"));
         Map<String, AtomicInteger> runs = new TreeMap<>();
         mFleet.services().values().forEach(s -> s.allRuns().forEach((k, v) -> add(runs, k, v)));
         mFleet.engines().values().forEach(e -> e.allRuns().forEach((k, v) -> add(runs, k, v)));
@@ -358,21 +360,21 @@
         m.put("answered", mAnswered.get());
         m.put("reuse_of_prompt", ratio(mReusedTokens.get(), mPromptTokens.get()));
         m.put("reuse_of_ideal", ratio(mReusedTokens.get(), mIdealTokens.get()));
-        m.put("skew_p50", mSkew.getValueAtPercentile(50) / 1000.0);
-        m.put("skew_p99", mSkew.getValueAtPercentile(99) / 1000.0);
-        m.put("skew_p999", mSkew.getValueAtPercentile(99.9) / 1000.0);
-        m.put("first_p50_ms", mFirstToken.getValueAtPercentile(50));
-        m.put("first_p95_ms", mFirstToken.getValueAtPercentile(95));
-        m.put("first_p99_ms", mFirstToken.getValueAtPercentile(99));
-        m.put("quiet_teams_p95_ms", mQuietTeams.getValueAtPercentile(95));
+        m.put("skew_p50", mLoadSkew.getValueAtPercentile(50) / 1000.0);
+        m.put("skew_p99", mLoadSkew.getValueAtPercentile(99) / 1000.0);
+        m.put("skew_p999", mLoadSkew.getValueAtPercentile(99.9) / 1000.0);
+        m.put("first_p50_ms", mTimeToFirstToken.getValueAtPercentile(50));
+        m.put("first_p95_ms", mTimeToFirstToken.getValueAtPercentile(95));
+        m.put("first_p99_ms", mTimeToFirstToken.getValueAtPercentile(99));
+        m.put("quiet_teams_p95_ms", mNonSurgingTimeToFirstToken.getValueAtPercentile(95));
         m.put("lost", mLost.get());
         m.put("may_have_run", mMayHaveRun.get());
         m.put("false_not_run", mFalseNotRun.get());
         m.put("refused", mRefused.toString().replace(",", ";"));
-        m.put("spills", (int) total("forkseam.router.spills"));
-        m.put("retries", (int) total("forkseam.router.retries"));
-        m.put("router_control_bps", Math.round(control(true)));
-        m.put("sidecar_control_bps", Math.round(control(false)));
+        m.put("spills", (int) counterTotal("forkseam.router.spills"));
+        m.put("retries", (int) counterTotal("forkseam.router.retries"));
+        m.put("router_control_bps", Math.round(controlBytesPerSecond(true)));
+        m.put("sidecar_control_bps", Math.round(controlBytesPerSecond(false)));
         return m;
     }
 
--- a/forkseam-bench/src/main/java/org/forkseam/bench/Frames.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/FrameThroughput.java
@@ -14,38 +14,39 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** Measures how many token frames a router passes for a second of its own processor time. */
-final class Frames {
+/** Measures the token frames that a router forwards per second of its CPU time. */
+final class FrameThroughput {
     private static final EngineStandin.Speed SPEED = new EngineStandin.Speed(256, 1e6, 1, 1 << 22);
     private static final int STREAMS = 40;
     private static final int TOKENS = 4_000;
     private static final int ROUNDS = 4;
 
-    private Frames() {}
+    private FrameThroughput() {}
 
     static void run() throws Exception {
-        try (LocalFleet fleet = LocalFleet.startSingle(SPEED)) {
+        try (LocalFleet fleet = LocalFleet.startSingleEngine(SPEED)) {
             Daemon router = fleet.router("entry-1");
             for (int i = 0; i < ROUNDS; i++) {
-                round(router, i);
+                runRound(router, i);
             }
         }
     }
 
-    private static void round(Daemon router, int n) throws Exception {
-        Caller caller = new Caller();
+    private static void runRound(Daemon router, int n) throws Exception {
+        RouterClient client = new RouterClient();
         long cpu = cpuNanos();
         long start = System.nanoTime();
         ExecutorService threads = Executors.newCachedThreadPool();
-        List<Callable<Caller.Answer>> calls = new ArrayList<>();
+        List<Callable<RouterClient.Response>> calls = new ArrayList<>();
         for (int i = 0; i < STREAMS; i++) {
-            List<Caller.Message> m = List.of(new Caller.Message("user", n + " stream " + i));
-            String body = Caller.body("lm", m, TOKENS, true);
-            calls.add(() -> caller.chat(router.callersAddress(), body, Map.of()));
+            List<RouterClient.Message> m =
+                    List.of(new RouterClient.Message("user", n + " stream " + i));
+            String body = RouterClient.chatBody("lm", m, TOKENS, true);
+            calls.add(() -> client.chat(router.callersAddress(), body, Map.of()));
         }
-        int whole = 0;
-        for (Future<Caller.Answer> f : threads.invokeAll(calls)) {
-            whole += f.get().whole() ? 1 : 0;
+        int complete = 0;
+        for (Future<RouterClient.Response> f : threads.invokeAll(calls)) {
+            complete += f.get().complete() ? 1 : 0;
         }
         threads.shutdown();
         double frames = (double) STREAMS * TOKENS;
@@ -54,10 +55,10 @@
         System.out.printf(
                 "round %d: %d of %d whole, %.0f frames/s, router loop %.2f s of processor time,"
                         + " %.0f frames per core second%n",
-                n, whole, STREAMS, frames / seconds, used, frames / used);
+                n, complete, STREAMS, frames / seconds, used, frames / used);
     }
 
-    /** Returns the processor time of the router's event loop. */
+    /** Returns the CPU time of the router's event loop. */
     private static long cpuNanos() {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         long sum = 0;
--- a/forkseam-bench/src/main/java/org/forkseam/bench/LocalFleet.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/LocalFleet.java
@@ -19,16 +19,16 @@
 import java.util.concurrent.ExecutionException;
 
 /**
- * Runs routers, sidecars and the stand-ins of everything around them in one process, on free ports
- * of the loopback. Used from one thread.
+ * Fleet of routers, sidecars and test doubles in one process, on free loopback ports. Not
+ * thread-safe.
  */
 public final class LocalFleet implements AutoCloseable {
-    /** Key of the operators' ports. */
+    /** Key of the admin interfaces. */
     public static final String OPERATORS_KEY = "tryout-operators";
 
     private static final String WIRE_KEY = "tryout-wire-key";
     private static final String TICKET_KEY = "tryout-ticket-key";
-    private static final String ANY = "127.0.0.1:0";
+    private static final String ANY_PORT = "127.0.0.1:0";
 
     private final PlatformStandin mPlatform;
     private final long mSeed;
@@ -44,28 +44,26 @@
         mSeed = seed;
     }
 
-    /** Starts the platform; daemons are added one by one. */
+    /** Starts a fleet with a platform and no daemons. */
     public static LocalFleet start(long seed) throws InterruptedException, ExecutionException {
         return new LocalFleet(PlatformStandin.start(), seed);
     }
 
-    /**
-     * Starts a router and one engine with a configuration in force, for measurements of the path.
-     */
-    public static LocalFleet startSingle(EngineStandin.Speed speed) throws Exception {
+    /** Starts a configured fleet of one router and one engine. */
+    public static LocalFleet startSingleEngine(EngineStandin.Speed speed) throws Exception {
         LocalFleet fleet = start(1);
-        Operator o = Operator.of(fleet.addRouter("entry-1", "a", "std"));
+        CliRunner cli = CliRunner.of(fleet.addRouter("entry-1", "a", "std"));
         fleet.addEngine("lm-1", "a", "lm", speed);
-        Waiting.until("seen", () -> o.run("get", "targets").out().lines().count() == 2);
-        o.apply("[pool p]\n[intent i]\npool = p\n");
+        Await.until("seen", () -> cli.run("get", "targets").out().lines().count() == 2);
+        cli.apply("[pool p]\n[intent i]\npool = p\n");
         fleet.waitForConfig(1);
         return fleet;
     }
 
-    /** Waits until every daemon has this version or a later one in force. */
+    /** Waits until every daemon has applied this configuration version or a later one. */
     public void waitForConfig(long version) throws Exception {
         for (Daemon d : daemons()) {
-            Waiting.until(
+            Await.until(
                     "version " + version + " at " + d.wireAddress(),
                     () -> d.registry().get("forkseam.config.version").gauge().value() >= version);
         }
@@ -76,11 +74,13 @@
     /** Adds a router. */
     public Daemon addRouter(String host, String domain, String placement)
             throws InterruptedException, ExecutionException {
-        Map<String, Map<String, String>> s = common(host, domain, "router");
-        s.put("callers", Map.of("listen", ANY, "ticket-key", TICKET_KEY, "placement", placement));
+        Map<String, Map<String, String>> s = commonSettings(host, domain, "router");
+        s.put(
+                "callers",
+                Map.of("listen", ANY_PORT, "ticket-key", TICKET_KEY, "placement", placement));
         Daemon d = startDaemon(host, s);
         mRouters.put(host, d);
-        list(host, domain, d.wireAddress(), Labels.of(Map.of("role", "router")));
+        addToHostList(host, domain, d.wireAddress(), Labels.of(Map.of("role", "router")));
         return d;
     }
 
@@ -103,7 +103,7 @@
         return s;
     }
 
-    /** Adds so many sidecars in front of one service, and lists them all at once. */
+    /** Adds sidecars for one service and adds all of them to the host list at the end. */
     public void addSidecars(int count, String url) throws InterruptedException, ExecutionException {
         List<Runnable> listings = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -125,7 +125,7 @@
         startSidecar(target, domain, kind, url, capacity, labels).run();
     }
 
-    /** Starts a sidecar and returns what puts it in the host list. */
+    /** Starts a sidecar and returns the action that adds it to the host list. */
     private Runnable startSidecar(
             String target,
             String domain,
@@ -135,7 +135,7 @@
             Map<String, String> labels)
             throws InterruptedException, ExecutionException {
         String host = "host-" + target;
-        Map<String, Map<String, String>> s = common(host, domain, "sidecar");
+        Map<String, Map<String, String>> s = commonSettings(host, domain, "sidecar");
         s.put(
                 "target",
                 Map.of(
@@ -155,14 +155,15 @@
         mLabels.put(target, Labels.of(all));
         Daemon d = startDaemon(host, s);
         mSidecars.put(target, d);
-        return () -> list(host, domain, d.wireAddress(), Labels.of(all));
+        return () -> addToHostList(host, domain, d.wireAddress(), Labels.of(all));
     }
 
-    private Map<String, Map<String, String>> common(String host, String domain, String role) {
+    private Map<String, Map<String, String>> commonSettings(
+            String host, String domain, String role) {
         Map<String, Map<String, String>> s = new TreeMap<>();
         s.put("daemon", Map.of("role", role, "host", host, "failure-domain", domain));
-        s.put("wire", Map.of("listen", ANY, "key", WIRE_KEY));
-        s.put("operators", Map.of("listen", ANY, "key", OPERATORS_KEY));
+        s.put("wire", Map.of("listen", ANY_PORT, "key", WIRE_KEY));
+        s.put("operators", Map.of("listen", ANY_PORT, "key", OPERATORS_KEY));
         s.put(
                 "platform",
                 Map.of(
@@ -190,15 +191,16 @@
         }
     }
 
-    private void list(String host, String domain, InetSocketAddress address, Labels labels) {
-        String at = address.getAddress().getHostAddress() + ":" + address.getPort();
+    private void addToHostList(
+            String host, String domain, InetSocketAddress address, Labels labels) {
+        String hostPort = address.getAddress().getHostAddress() + ":" + address.getPort();
         Labels all = labels.with(HostEntry.FAILURE_DOMAIN, domain);
-        mPlatform.putHost(new HostEntry(host, at, false, all));
+        mPlatform.putHost(new HostEntry(host, hostPort, false, all));
     }
 
     // ---------------------------------------------------------------- faults
 
-    /** Kills a target and its sidecar at once, as the loss of their host would. */
+    /** Simulates the loss of a host by killing a target and its sidecar. */
     public void killTarget(String target) throws InterruptedException, ExecutionException {
         mSidecars.remove(target).kill();
         if (mEngines.containsKey(target)) {
@@ -213,37 +215,37 @@
         mSidecars.remove(target).kill();
     }
 
-    /** Starts a sidecar again on the address it had, with nothing kept. */
+    /** Restarts a sidecar on the given address without any state. */
     public Daemon restartSidecar(String target, InetSocketAddress address)
             throws InterruptedException, ExecutionException {
         String host = "host-" + target;
         Map<String, Map<String, String>> s = new TreeMap<>(mSettings.get(host));
         Map<String, String> wire = new TreeMap<>(s.get("wire"));
-        wire.put("listen", text(address));
+        wire.put("listen", toHostPort(address));
         s.put("wire", wire);
         Daemon d = startDaemon(host, s);
         mSidecars.put(target, d);
         return d;
     }
 
-    /** Kills a router at once. */
+    /** Kills a router. */
     public void killRouter(String host) throws InterruptedException {
         mRouters.remove(host).kill();
     }
 
-    /** Makes the host list say that a target's host leaves, or stays. */
+    /** Sets whether the host list marks a target's host as leaving. */
     public void setLeaving(String target, String domain, boolean leaving) {
         InetSocketAddress a = mSidecars.get(target).wireAddress();
         Labels all = mLabels.get(target).with(HostEntry.FAILURE_DOMAIN, domain);
-        mPlatform.putHost(new HostEntry("host-" + target, text(a), leaving, all));
+        mPlatform.putHost(new HostEntry("host-" + target, toHostPort(a), leaving, all));
     }
 
-    /** Stops a daemon in an orderly way. */
+    /** Stops a router gracefully. */
     public void stopRouter(String host) throws InterruptedException {
         mRouters.remove(host).stop();
     }
 
-    /** Stops a sidecar in an orderly way; its target goes on running. */
+    /** Stops a sidecar gracefully and leaves its target running. */
     public void stopSidecar(String target) throws InterruptedException {
         mSidecars.remove(target).stop();
     }
@@ -272,22 +274,22 @@
         return all;
     }
 
-    /** Returns the engines that run, by name. */
+    /** Returns the running engines by target. */
     public Map<String, EngineStandin> engines() {
         return mEngines;
     }
 
-    /** Returns the services that run, by name. */
+    /** Returns the running services by target. */
     public Map<String, ServiceStandin> services() {
         return mServices;
     }
 
-    /** Returns {@code ip:port} of an address. */
-    public static String text(InetSocketAddress a) {
+    /** Formats an address as {@code ip:port}. */
+    public static String toHostPort(InetSocketAddress a) {
         return a.getAddress().getHostAddress() + ":" + a.getPort();
     }
 
-    /** Kills everything. */
+    /** Kills all daemons and stops all test doubles. */
     @Override
     public void close() throws InterruptedException {
         for (Daemon d : daemons()) {
--- a/forkseam-bench/src/main/java/org/forkseam/bench/Overhead.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/Overhead.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** Compares the path with direct calls to the stand-in, request by request in the same run. */
+/** Measures the latency a router adds, alternating routed and direct requests in one run. */
 final class Overhead {
     private static final int WARM_UP_SECONDS = 5;
     private static final EngineStandin.Speed SPEED = new EngineStandin.Speed(256, 1e6, 1, 1 << 22);
@@ -22,7 +22,7 @@
     private Overhead() {}
 
     static void run(double rate, int seconds) throws Exception {
-        try (LocalFleet fleet = LocalFleet.startSingle(SPEED)) {
+        try (LocalFleet fleet = LocalFleet.startSingleEngine(SPEED)) {
             Daemon router = fleet.router("entry-1");
             EngineStandin e = fleet.engines().get("lm-1");
             URI direct = URI.create(e.url());
@@ -39,9 +39,9 @@
             int seconds,
             boolean print)
             throws InterruptedException {
-        Histogram through = new ConcurrentHistogram(60_000_000, 3);
+        Histogram routed = new ConcurrentHistogram(60_000_000, 3);
         Histogram direct = new ConcurrentHistogram(60_000_000, 3);
-        Caller caller = new Caller();
+        RouterClient client = new RouterClient();
         ExecutorService threads = Executors.newFixedThreadPool(64);
         long start = System.nanoTime();
         int n = (int) (rate * seconds);
@@ -55,31 +55,31 @@
             threads.execute(
                     () ->
                             send(
-                                    caller,
+                                    client,
                                     viaRouter ? router : engine,
                                     body,
-                                    viaRouter ? through : direct));
+                                    viaRouter ? routed : direct));
         }
         threads.shutdown();
         threads.awaitTermination(30, TimeUnit.SECONDS);
         if (print) {
             print("direct ", direct);
-            print("through", through);
+            print("through", routed);
             System.out.printf(
                     "added: p50 %d us, p99 %d us%n",
-                    through.getValueAtPercentile(50) - direct.getValueAtPercentile(50),
-                    through.getValueAtPercentile(99) - direct.getValueAtPercentile(99));
+                    routed.getValueAtPercentile(50) - direct.getValueAtPercentile(50),
+                    routed.getValueAtPercentile(99) - direct.getValueAtPercentile(99));
         }
     }
 
     private static String body(int i) {
-        return Caller.body(
-                "lm", List.of(new Caller.Message("user", "question " + i)), TOKENS, true);
+        return RouterClient.chatBody(
+                "lm", List.of(new RouterClient.Message("user", "question " + i)), TOKENS, true);
     }
 
-    private static void send(Caller caller, InetSocketAddress to, String body, Histogram h) {
+    private static void send(RouterClient client, InetSocketAddress to, String body, Histogram h) {
         try {
-            h.recordValue(Math.max(1, caller.timed(to, body, Map.of()).firstMicros()));
+            h.recordValue(Math.max(1, client.chatTimed(to, body, Map.of()).firstLineMicros()));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/forkseam-bench/src/main/java/org/forkseam/bench/Plot.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/Plot.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Draws reuse by placement and condition as bars. */
+/** Draws a bar chart of prompt token reuse by placement and condition. */
 final class Plot {
     private static final int WIDTH = 1100;
     private static final int HEIGHT = 520;
--- a/forkseam-bench/src/main/java/org/forkseam/bench/Caller.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/RouterClient.java
@@ -19,8 +19,8 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** Calls a router as a desk's program would, with the platform's own HTTP client. Thread-safe. */
-public final class Caller {
+/** Client of a router, based on the JDK's HTTP client. Thread-safe. */
+public final class RouterClient {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
@@ -28,26 +28,27 @@
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     /**
-     * Holds an answer as the caller sees it.
+     * A response as received by the client.
      *
      * @param status HTTP status; 0 if the connection broke
-     * @param headers the answer's headers
-     * @param text the model's text, or the body of a plain answer
-     * @param whole whether the answer came to its regular end
+     * @param headers response headers
+     * @param text generated text of a chat, or the response body
+     * @param complete whether the response ended regularly
      */
-    public record Answer(
-            int status, Map<String, List<String>> headers, String text, boolean whole) {
-        /** Returns a header of forkseam's, or empty text. */
+    public record Response(
+            int status, Map<String, List<String>> headers, String text, boolean complete) {
+        /** Returns the value of a {@code Forkseam-} header, or an empty string. */
         public String header(String name) {
             return headers.getOrDefault("forkseam-" + name, List.of("")).get(0);
         }
     }
 
-    /** Holds one message of a chat. */
+    /** A message of a chat. */
     public record Message(String role, String content) {}
 
     /** Returns the body of a chat request. */
-    public static String body(String model, List<Message> messages, int tokens, boolean stream) {
+    public static String chatBody(
+            String model, List<Message> messages, int tokens, boolean stream) {
         ObjectNode n = JSON.createObjectNode().put("model", model).put("max_tokens", tokens);
         n.put("stream", stream);
         ArrayNode list = n.putArray("messages");
@@ -55,42 +56,50 @@
         return n.toString();
     }
 
-    /** Sends a chat and reads the whole answer, streamed or not. */
-    public Answer chat(InetSocketAddress router, String body, Map<String, String> headers)
+    /** Sends a chat and reads the complete response, streamed or not. */
+    public Response chat(InetSocketAddress router, String body, Map<String, String> headers)
             throws InterruptedException {
         return send(router, "POST", "/v1/chat/completions", body, headers);
     }
 
     /**
-     * Holds an answer with the time to its first line.
+     * A response with the time to its first line.
      *
-     * @param answer the answer
-     * @param firstMicros microseconds from sending to the first line
+     * @param response the response
+     * @param firstLineMicros time from sending to the first line in microseconds
      */
-    public record Timed(Answer answer, long firstMicros) {
-        /** Returns milliseconds to the first line. */
-        public long firstMillis() {
-            return firstMicros / 1000;
+    public record TimedResponse(Response response, long firstLineMicros) {
+        /** Returns the time to the first line in milliseconds. */
+        public long firstLineMillis() {
+            return firstLineMicros / 1000;
         }
     }
 
-    /** Sends a chat and notes when its answer began. */
-    public Timed timed(InetSocketAddress router, String body, Map<String, String> headers)
+    /** Sends a chat and measures the time to the first line of the response. */
+    public TimedResponse chatTimed(
+            InetSocketAddress router, String body, Map<String, String> headers)
             throws InterruptedException {
         long[] first = {0};
         long start = System.nanoTime();
-        Answer a = send(router, "POST", "/v1/chat/completions", body, headers, () -> note(first));
-        return new Timed(a, (Math.max(first[0], start) - start) / 1000);
+        Response a =
+                send(
+                        router,
+                        "POST",
+                        "/v1/chat/completions",
+                        body,
+                        headers,
+                        () -> recordFirstLine(first));
+        return new TimedResponse(a, (Math.max(first[0], start) - start) / 1000);
     }
 
-    private static void note(long[] first) {
+    private static void recordFirstLine(long[] first) {
         if (first[0] == 0) {
             first[0] = System.nanoTime();
         }
     }
 
-    /** Sends any request and reads the whole answer. */
-    public Answer send(
+    /** Sends a request and reads the complete response. */
+    public Response send(
             InetSocketAddress router,
             String method,
             String path,
@@ -100,7 +109,7 @@
         return send(router, method, path, body, headers, () -> {});
     }
 
-    private Answer send(
+    private Response send(
             InetSocketAddress router,
             String method,
             String path,
@@ -109,7 +118,7 @@
             Runnable onLine)
             throws InterruptedException {
         HttpRequest.Builder b =
-                HttpRequest.newBuilder(URI.create("http://" + LocalFleet.text(router) + path))
+                HttpRequest.newBuilder(URI.create("http://" + LocalFleet.toHostPort(router) + path))
                         .timeout(TIMEOUT)
                         .method(method, HttpRequest.BodyPublishers.ofString(body));
         headers.forEach((k, v) -> b.header("Forkseam-" + k, v));
@@ -118,7 +127,7 @@
         try {
             r = mClient.send(b.build(), HttpResponse.BodyHandlers.ofLines());
         } catch (IOException e) {
-            return new Answer(0, Map.of(), e.toString(), false);
+            return new Response(0, Map.of(), e.toString(), false);
         }
         boolean broken = false;
         try (var all = r.body()) {
@@ -130,21 +139,21 @@
         } catch (UncheckedIOException e) {
             broken = true;
         }
-        return read(r, lines, broken);
+        return toResponse(r, lines, broken);
     }
 
-    private static Answer read(HttpResponse<?> r, List<String> lines, boolean broken) {
+    private static Response toResponse(HttpResponse<?> r, List<String> lines, boolean broken) {
         Map<String, List<String>> headers = r.headers().map();
         boolean events =
                 r.headers().firstValue("content-type").orElse("").startsWith("text/event-stream");
         if (events) {
-            return readEvents(r.statusCode(), headers, lines, broken);
+            return parseEvents(r.statusCode(), headers, lines, broken);
         }
         String text = String.join("\n", lines);
-        return new Answer(r.statusCode(), headers, content(text).orElse(text), !broken);
+        return new Response(r.statusCode(), headers, content(text).orElse(text), !broken);
     }
 
-    private static Answer readEvents(
+    private static Response parseEvents(
             int status, Map<String, List<String>> headers, List<String> lines, boolean broken) {
         StringBuilder text = new StringBuilder();
         boolean done = false;
@@ -155,7 +164,7 @@
                 text.append(delta(line.substring("data: ".length())));
             }
         }
-        return new Answer(status, headers, text.toString(), done && !broken);
+        return new Response(status, headers, text.toString(), done && !broken);
     }
 
     private static String delta(String json) {
@@ -174,7 +183,7 @@
         try {
             return JSON.readTree(json);
         } catch (IOException e) {
-            throw new IllegalStateException("not JSON: " + json, e);
+            throw new IllegalStateException("invalid JSON: " + json, e);
         }
     }
 }
--- a/forkseam-bench/src/main/java/org/forkseam/bench/Trace.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/Trace.java
@@ -5,71 +5,71 @@
 import java.util.SplittableRandom;
 
 /**
- * Makes a seeded trace: teams by Zipf's law, chats that return after pauses with grown prompts,
- * plain calls, some of them unrepeatable. The same seed gives the same trace.
+ * Generates a reproducible request trace from a seed: teams follow Zipf's law, chats grow by turns,
+ * and some requests are service calls, a part of them unrepeatable. Not thread-safe.
  */
 final class Trace {
     private static final int SYSTEM_CHARS = 1600;
     private static final int QUESTION_CHARS = 600;
     private static final int ANSWER_TOKENS = 24;
-    private static final double CALL_SHARE = 0.1;
+    private static final double SERVICE_CALL_SHARE = 0.1;
     private static final double UNREPEATABLE_SHARE = 0.02;
-    private static final double ZIPF = 1.1;
+    private static final double ZIPF_EXPONENT = 1.1;
     private static final int SURGING_TEAMS = 2;
 
     /**
-     * Is one request of the trace.
+     * A request of the trace.
      *
-     * @param atMillis when it is sent, from the trace's start
-     * @param team who sends it
-     * @param chat number of its chat, or -1 for a plain call
-     * @param turn which turn of the chat
-     * @param tokens tokens asked for
+     * @param atMillis send time relative to the start of the trace
+     * @param team team that sends it
+     * @param chat index of the chat, or -1 for a service call
+     * @param turn index of the turn in the chat
+     * @param tokens number of tokens requested
      * @param unrepeatable whether it may run at most once
      */
     record Request(
             long atMillis, String team, int chat, int turn, int tokens, boolean unrepeatable) {}
 
     /**
-     * Shapes a trace.
+     * Parameters of a trace.
      *
-     * @param seconds how long it lasts
-     * @param perSecond requests a second on average
-     * @param chats chats that take turns
-     * @param teams teams that send
-     * @param surge whether two teams send ten times as much in the middle third
+     * @param seconds duration
+     * @param perSecond average requests per second
+     * @param chats number of concurrent chats
+     * @param teams number of teams
+     * @param surge whether two teams send additional traffic in the middle third
      */
     record Shape(int seconds, double perSecond, int chats, int teams, boolean surge) {}
 
     private final Shape mShape;
     private final SplittableRandom mRandom;
-    private final double[] mTeamShare;
+    private final double[] mCumulativeTeamShare;
 
     private Trace(Shape shape, long seed) {
         mShape = shape;
         mRandom = new SplittableRandom(seed);
-        mTeamShare = new double[shape.teams()];
+        mCumulativeTeamShare = new double[shape.teams()];
         double sum = 0;
         for (int i = 0; i < shape.teams(); i++) {
-            sum += 1 / Math.pow(i + 1, ZIPF);
-            mTeamShare[i] = sum;
+            sum += 1 / Math.pow(i + 1, ZIPF_EXPONENT);
+            mCumulativeTeamShare[i] = sum;
         }
         for (int i = 0; i < shape.teams(); i++) {
-            mTeamShare[i] /= sum;
+            mCumulativeTeamShare[i] /= sum;
         }
     }
 
-    /** Makes a trace, sorted by time. */
+    /** Generates a trace, sorted by time. */
     static List<Request> of(Shape shape, long seed) {
-        return new Trace(shape, seed).make();
+        return new Trace(shape, seed).generate();
     }
 
-    private List<Request> make() {
+    private List<Request> generate() {
         List<Request> out = new ArrayList<>();
         int[] turns = new int[mShape.chats()];
         int[] teamOf = new int[mShape.chats()];
         for (int i = 0; i < teamOf.length; i++) {
-            teamOf[i] = team();
+            teamOf[i] = sampleTeam();
         }
         double at = 0;
         double end = mShape.seconds() * 1000.0;
@@ -83,7 +83,7 @@
                 chat = mRandom.nextInt(mShape.chats());
             }
             boolean unrepeatable = mRandom.nextDouble() < UNREPEATABLE_SHARE;
-            boolean call = unrepeatable || mRandom.nextDouble() < CALL_SHARE;
+            boolean call = unrepeatable || mRandom.nextDouble() < SERVICE_CALL_SHARE;
             String name = "team-" + teamOf[chat];
             if (call) {
                 out.add(new Request((long) at, name, -1, 0, 0, unrepeatable));
@@ -94,23 +94,24 @@
         return out;
     }
 
-    private int team() {
+    private int sampleTeam() {
         double u = mRandom.nextDouble();
         int i = 0;
-        while (mTeamShare[i] < u) {
+        while (mCumulativeTeamShare[i] < u) {
             i++;
         }
         return i;
     }
 
-    /** Returns the beginning that all chats of a team share. */
-    static Caller.Message system(String team) {
-        return new Caller.Message("system", filler("rules of " + team, SYSTEM_CHARS));
+    /** Returns the system prompt shared by all chats of a team. */
+    static RouterClient.Message systemPrompt(String team) {
+        return new RouterClient.Message("system", filler("rules of " + team, SYSTEM_CHARS));
     }
 
-    /** Returns what a chat asks in a turn. */
-    static Caller.Message question(int chat, int turn) {
-        return new Caller.Message("user", filler("chat " + chat + " turn " + turn, QUESTION_CHARS));
+    /** Returns the user message of a turn. */
+    static RouterClient.Message userPrompt(int chat, int turn) {
+        return new RouterClient.Message(
+                "user", filler("chat " + chat + " turn " + turn, QUESTION_CHARS));
     }
 
     private static String filler(String about, int chars) {
--- a/forkseam-bench/src/main/java/org/forkseam/bench/Tryout.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/Tryout.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 
-/** Shows a chat on its way through a small fleet, in one process and under a minute. */
+/** Demo that routes a chat through a small fleet in one process. Not thread-safe. */
 public final class Tryout {
     private static final String MODEL = "forecast-lm";
     private static final int TOKENS = 12;
@@ -29,8 +29,8 @@
 
     private final LocalFleet mFleet;
     private final Daemon mRouter;
-    private final Caller mCaller = new Caller();
-    private final List<Caller.Message> mChat = new ArrayList<>();
+    private final RouterClient mClient = new RouterClient();
+    private final List<RouterClient.Message> mChat = new ArrayList<>();
     private String mTicket = "";
 
     private Tryout(LocalFleet fleet, Daemon router) {
@@ -38,7 +38,7 @@
         mRouter = router;
     }
 
-    /** Runs the try-out; with {@code --stay} it goes on until it is interrupted. */
+    /** Runs the demo; with {@code --stay} the fleet keeps running until interrupted. */
     public static void main(String[] args) throws Exception {
         boolean stay = args.length > 0 && args[0].equals("--stay");
         try (LocalFleet fleet = LocalFleet.start(1)) {
@@ -47,43 +47,43 @@
             fleet.addEngine("lm-01", "hall-a", MODEL, speed);
             fleet.addEngine("lm-02", "hall-b", MODEL, speed);
             fleet.addEngine("lm-03", "hall-c", MODEL, speed);
-            new Tryout(fleet, router).show(stay);
+            new Tryout(fleet, router).run(stay);
         }
         System.exit(0);
     }
 
-    private void show(boolean stay) throws Exception {
-        Operator operator = Operator.of(mRouter);
-        say("A router, three engines with their sidecars, and a platform are up.");
-        Waiting.until(
+    private void run(boolean stay) throws Exception {
+        CliRunner cli = CliRunner.of(mRouter);
+        print("A router, three engines with their sidecars, and a platform are up.");
+        Await.until(
                 "the router sees three targets",
-                () -> operator.run("get", "targets").out().lines().count() == 4);
-        say("$ forkseam apply -f briefing.ini");
-        say(operator.apply(CONFIG).out());
-        Waiting.until(
+                () -> cli.run("get", "targets").out().lines().count() == 4);
+        print("$ forkseam apply -f briefing.ini");
+        print(cli.apply(CONFIG).out());
+        Await.until(
                 "every daemon has the configuration",
-                () -> !operator.run("config", "status").out().contains("behind"));
-        say("$ forkseam config status");
-        say(operator.run("config", "status").out());
+                () -> !cli.run("config", "status").out().contains("behind"));
+        print("$ forkseam config status");
+        print(cli.run("config", "status").out());
         String target = "";
         for (int turn = 1; turn <= TURNS; turn++) {
-            target = turn(turn);
+            target = sendTurn(turn);
         }
-        say("Killing " + target + ", engine and sidecar, and going on with the chat.");
+        print("Killing " + target + ", engine and sidecar, and going on with the chat.");
         mFleet.killTarget(target);
-        turn(TURNS + 1);
-        say("$ forkseam explain turn-" + (TURNS + 1));
-        say(operator.run("explain", "turn-" + (TURNS + 1)).out());
+        sendTurn(TURNS + 1);
+        print("$ forkseam explain turn-" + (TURNS + 1));
+        print(cli.run("explain", "turn-" + (TURNS + 1)).out());
         if (stay) {
-            stay();
+            keepRunning();
         }
     }
 
-    private String turn(int turn) throws InterruptedException {
-        mChat.add(new Caller.Message("user", question(turn)));
-        String body = Caller.body(MODEL, mChat, TOKENS, true);
-        Caller.Answer a =
-                mCaller.chat(
+    private String sendTurn(int turn) throws InterruptedException {
+        mChat.add(new RouterClient.Message("user", question(turn)));
+        String body = RouterClient.chatBody(MODEL, mChat, TOKENS, true);
+        RouterClient.Response a =
+                mClient.chat(
                         mRouter.callersAddress(),
                         body,
                         mTicket.isEmpty()
@@ -96,13 +96,13 @@
                                         "Ticket",
                                         mTicket));
         mTicket = a.header("ticket");
-        mChat.add(new Caller.Message("assistant", a.text()));
-        say(
+        mChat.add(new RouterClient.Message("assistant", a.text()));
+        print(
                 "turn %d: status %d whole=%s target=%s why=%s attempts=%s answer=\"%s\""
                         .formatted(
                                 turn,
                                 a.status(),
-                                a.whole(),
+                                a.complete(),
                                 a.header("target"),
                                 a.header("why"),
                                 a.header("attempts"),
@@ -117,22 +117,22 @@
                 + "Station readings. ".repeat(20);
     }
 
-    private void stay() throws InterruptedException {
-        String callers = LocalFleet.text(mRouter.callersAddress());
-        say("Staying up. Try:");
-        say(
+    private void keepRunning() throws InterruptedException {
+        String callers = LocalFleet.toHostPort(mRouter.callersAddress());
+        print("Staying up. Try:");
+        print(
                 "curl -N http://"
                         + callers
                         + "/v1/chat/completions -d '{\"model\":\"forecast-lm\",\"stream\":true,"
                         + "\"messages\":[{\"role\":\"user\",\"content\":\"stage?\"}]}'");
-        say("export FORKSEAM_ADDRESS=" + LocalFleet.text(mRouter.operatorsAddress()));
-        say("export FORKSEAM_KEY=" + LocalFleet.OPERATORS_KEY);
-        say("bin/forkseam top");
-        say("bin/forkseam label target lm-02 tier=canary");
+        print("export FORKSEAM_ADDRESS=" + LocalFleet.toHostPort(mRouter.operatorsAddress()));
+        print("export FORKSEAM_KEY=" + LocalFleet.OPERATORS_KEY);
+        print("bin/forkseam top");
+        print("bin/forkseam label target lm-02 tier=canary");
         new CountDownLatch(1).await();
     }
 
-    private static void say(String text) {
+    private static void print(String text) {
         System.out.println(text);
     }
 }
--- a/forkseam-bench/src/main/java/org/forkseam/bench/package-info.java
+++ b/forkseam-bench/src/main/java/org/forkseam/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Whole fleets on one machine against the stand-ins: for the try-out, tests and measurements. */
+/** Local fleets of daemons and test doubles, for the demo, tests and benchmarks. */
 package org.forkseam.bench;
--- a/forkseam-bench/src/test/java/org/forkseam/bench/DrainTest.java
+++ b/forkseam-bench/src/test/java/org/forkseam/bench/DrainTest.java
@@ -13,36 +13,36 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Leaving targets get no new work, and planned stops cut nothing. */
+/** Guards against new requests on draining targets and interrupted ones on graceful stops. */
 class DrainTest extends FleetTestBase {
     @Override
     EngineStandin.Speed speed() {
         return new EngineStandin.Speed(16, 1000, 10, 1 << 20);
     }
 
-    /** Sends chats without pause until told to stop, and counts what came of them. */
-    private final class Load {
+    /** Sends chats continuously until stopped and records the failures. */
+    private final class BackgroundLoad {
         final AtomicBoolean mStop = new AtomicBoolean();
         final AtomicInteger mSent = new AtomicInteger();
-        final List<String> mBad = new ArrayList<>();
-        final List<CompletableFuture<Caller.Answer>> mRunning = new ArrayList<>();
+        final List<String> mFailures = new ArrayList<>();
+        final List<CompletableFuture<RouterClient.Response>> mRunning = new ArrayList<>();
 
-        Load(Daemon... routers) {
+        BackgroundLoad(Daemon... routers) {
             for (int i = 0; i < 12; i++) {
                 int n = i;
-                mRunning.add(later(() -> run(n, routers)));
+                mRunning.add(callAsync(() -> run(n, routers)));
             }
         }
 
-        private Caller.Answer run(int n, Daemon... routers) throws InterruptedException {
-            Caller.Answer a = null;
+        private RouterClient.Response run(int n, Daemon... routers) throws InterruptedException {
+            RouterClient.Response a = null;
             for (int i = 0; !mStop.get(); i++) {
                 String who = "w" + n + "-" + i;
                 a = chat(routers[(n + i) % routers.length], who, i % 2 == 0, Map.of());
                 mSent.incrementAndGet();
-                if (a.status() != 200 || !a.whole() || !a.text().equals(expected(who, TOKENS))) {
-                    synchronized (mBad) {
-                        mBad.add(who + ": " + a);
+                if (a.status() != 200 || !a.complete() || !a.text().equals(expected(who, TOKENS))) {
+                    synchronized (mFailures) {
+                        mFailures.add(who + ": " + a);
                     }
                 }
             }
@@ -51,37 +51,37 @@
 
         void finish() throws Exception {
             mStop.set(true);
-            for (CompletableFuture<Caller.Answer> f : mRunning) {
+            for (CompletableFuture<RouterClient.Response> f : mRunning) {
                 f.get();
             }
-            assertThat(mBad).isEmpty();
+            assertThat(mFailures).isEmpty();
             assertThat(mSent.get()).isGreaterThan(12);
         }
     }
 
     @Test
-    void plannedStopOfASidecarUnderLoadCutsNothing() throws Exception {
-        Load load = new Load(mRouter1, mRouter2);
-        Waiting.until("load runs", () -> load.mSent.get() > 20);
+    void gracefulSidecarStopUnderLoadInterruptsNoRequest() throws Exception {
+        BackgroundLoad load = new BackgroundLoad(mRouter1, mRouter2);
+        Await.until("load runs", () -> load.mSent.get() > 20);
         mFleet.stopSidecar("lm-02");
         int after = load.mSent.get();
-        Waiting.until("load goes on", () -> load.mSent.get() > after + 20);
+        Await.until("load continues after the stop", () -> load.mSent.get() > after + 20);
         load.finish();
         assertThat(mFleet.engines().get("lm-02").load()).isEqualTo(0);
     }
 
     @Test
-    void plannedStopOfARouterUnderLoadCutsNothing() throws Exception {
-        Load other = new Load(mRouter2);
-        List<CompletableFuture<Caller.Answer>> inFlight = new ArrayList<>();
+    void gracefulRouterStopUnderLoadInterruptsNoRequest() throws Exception {
+        BackgroundLoad other = new BackgroundLoad(mRouter2);
+        List<CompletableFuture<RouterClient.Response>> inFlight = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            inFlight.add(chatLater(mRouter1, "g" + i, i % 2 == 0, Map.of()));
+            inFlight.add(chatAsync(mRouter1, "g" + i, i % 2 == 0, Map.of()));
         }
-        busyTarget();
-        Waiting.until("all have been taken in", () -> requests(mRouter1) >= 10);
+        awaitBusyTarget();
+        Await.until("all requests have been accepted", () -> requests(mRouter1) >= 10);
         mFleet.stopRouter("entry-1");
         for (int i = 0; i < 10; i++) {
-            assertWhole(inFlight.get(i).get(), "g" + i);
+            assertComplete(inFlight.get(i).get(), "g" + i);
         }
         other.finish();
     }
@@ -91,19 +91,20 @@
     }
 
     @Test
-    void drainedTargetTakesNoNewWorkAndFinishesWhatRuns() throws Exception {
-        CompletableFuture<Caller.Answer> running = chatLater(mRouter1, "a", true, Map.of());
-        String target = busyTarget();
-        assertThat(mOperator.run("drain", target).code()).isEqualTo(0);
+    void drainedTargetTakesNoNewRequestsAndFinishesRunningOnes() throws Exception {
+        CompletableFuture<RouterClient.Response> running = chatAsync(mRouter1, "a", true, Map.of());
+        String target = awaitBusyTarget();
+        assertThat(mCli.run("drain", target).code()).isEqualTo(0);
         waitForConfig(2);
         int before = runsAt(target);
         for (int i = 0; i < 20; i++) {
-            Caller.Answer a = chat(i % 2 == 0 ? mRouter1 : mRouter2, "n" + i, false, Map.of());
+            RouterClient.Response a =
+                    chat(i % 2 == 0 ? mRouter1 : mRouter2, "n" + i, false, Map.of());
             assertThat(a.header("target")).isNotEqualTo(target);
         }
-        assertWhole(running.get(), "a");
+        assertComplete(running.get(), "a");
         assertThat(runsAt(target)).isEqualTo(before);
-        assertThat(mOperator.run("undrain", target).code()).isEqualTo(0);
+        assertThat(mCli.run("undrain", target).code()).isEqualTo(0);
     }
 
     private int runsAt(String target) {
@@ -111,18 +112,18 @@
     }
 
     @Test
-    void sidecarOfALeavingHostRefusesThoughRoutersDoNotKnowYet() throws Exception {
+    void sidecarOfALeavingHostRefusesBeforeRoutersAreInformed() throws Exception {
         String target = chat(mRouter1, "a", false, Map.of("Chat-Id", "c")).header("target");
         mFleet.setLeaving(target, "hall-a", true);
-        Waiting.until(
-                "the chat goes elsewhere",
+        Await.until(
+                "the chat moves to another target",
                 () ->
                         !chat(mRouter1, "a", false, Map.of("Chat-Id", "c"))
                                 .header("target")
                                 .equals(target));
         mFleet.setLeaving(target, "hall-a", false);
-        Waiting.until(
-                "it comes back",
+        Await.until(
+                "the chat returns to its target",
                 () ->
                         chat(mRouter1, "a", false, Map.of("Chat-Id", "c"))
                                 .header("target")
--- a/forkseam-bench/src/test/java/org/forkseam/bench/FailureTest.java
+++ b/forkseam-bench/src/test/java/org/forkseam/bench/FailureTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** Whole answers and true outcomes while targets, sidecars, routers and connections fail. */
+/** Guards against truncated or mixed responses and wrong outcomes when components fail. */
 class FailureTest extends FleetTestBase {
     @Override
     EngineStandin.Speed speed() {
@@ -22,157 +22,158 @@
     }
 
     @Test
-    void cutConnectionIsTakenUpWhereItStopped() throws Exception {
-        CompletableFuture<Caller.Answer> a =
-                chatLater(mRouter1, "a", true, Map.of("Request-Id", "r1"));
-        String target = busyTarget();
+    void brokenConnectionResumesWhereItStopped() throws Exception {
+        CompletableFuture<RouterClient.Response> a =
+                chatAsync(mRouter1, "a", true, Map.of("Request-Id", "r1"));
+        String target = awaitBusyTarget();
         for (int i = 0; i < 3; i++) {
             mFleet.sidecar(target).cutLinks();
             Thread.sleep(100);
         }
-        assertWhole(a.get(), "a");
+        assertComplete(a.get(), "a");
         assertThat(runs("r1")).isEqualTo(1);
     }
 
     @Test
-    void restartedSidecarGoesOnWithTheEnginesStream() throws Exception {
-        CompletableFuture<Caller.Answer> a =
-                chatLater(mRouter1, "a", true, Map.of("Request-Id", "r1"));
-        String target = busyTarget();
-        Thread.sleep(150); // let some of the answer reach the caller
+    void restartedSidecarResumesTheEnginesStream() throws Exception {
+        CompletableFuture<RouterClient.Response> a =
+                chatAsync(mRouter1, "a", true, Map.of("Request-Id", "r1"));
+        String target = awaitBusyTarget();
+        Thread.sleep(150); // lets part of the response reach the caller
         InetSocketAddress address = mFleet.sidecar(target).wireAddress();
         mFleet.killSidecar(target);
         mFleet.restartSidecar(target, address);
-        assertWhole(a.get(), "a");
+        assertComplete(a.get(), "a");
         assertThat(runs("r1")).isEqualTo(1);
     }
 
     @Test
-    void lostHostBeforeAnythingWasShownMeansAnotherTarget() throws Exception {
-        CompletableFuture<Caller.Answer> a = chatLater(mRouter1, "a", false, Map.of());
-        String target = busyTarget();
+    void hostLostBeforeFirstOutputFailsOverToAnotherTarget() throws Exception {
+        CompletableFuture<RouterClient.Response> a = chatAsync(mRouter1, "a", false, Map.of());
+        String target = awaitBusyTarget();
         mFleet.killTarget(target);
-        Caller.Answer got = a.get();
-        assertWhole(got, "a");
+        RouterClient.Response got = a.get();
+        assertComplete(got, "a");
         assertThat(got.header("target")).isNotEqualTo(target);
         assertThat(got.header("attempts")).isEqualTo("2");
     }
 
     @Test
-    void lostHostAfterAPartWasShownEndsWithAnExplicitError() throws Exception {
-        CompletableFuture<Caller.Answer> a = chatLater(mRouter1, "a", true, Map.of());
-        String target = busyTarget();
+    void hostLostAfterPartialOutputEndsWithAnExplicitError() throws Exception {
+        CompletableFuture<RouterClient.Response> a = chatAsync(mRouter1, "a", true, Map.of());
+        String target = awaitBusyTarget();
         Thread.sleep(150);
         mFleet.killTarget(target);
-        Caller.Answer got = a.get();
-        assertThat(got.whole()).isFalse();
+        RouterClient.Response got = a.get();
+        assertThat(got.complete()).isFalse();
         assertThat(expected("a", TOKENS)).startsWith(got.text());
     }
 
     @Test
-    void engineThatBreaksOffIsNeverShownAsWhole() throws Exception {
-        mFleet.engines().values().forEach(e -> e.setBreakAfter(5));
-        Caller.Answer a = chat(mRouter1, "a", true, Map.of());
-        assertThat(a.whole()).isFalse();
+    void truncatedEngineStreamIsNeverReportedAsComplete() throws Exception {
+        mFleet.engines().values().forEach(e -> e.setAbortAfterEvents(5));
+        RouterClient.Response a = chat(mRouter1, "a", true, Map.of());
+        assertThat(a.complete()).isFalse();
     }
 
     @Test
-    void engineThatRefusesConnectionsCostsNothingButATry() throws Exception {
+    void engineThatRefusesConnectionsIsRetriedElsewhere() throws Exception {
         String home = chat(mRouter1, "a", false, Map.of("Chat-Id", "c")).header("target");
         mFleet.engines().get(home).kill();
-        Caller.Answer a = chat(mRouter1, "a", false, Map.of("Chat-Id", "c"));
-        assertWhole(a, "a");
+        RouterClient.Response a = chat(mRouter1, "a", false, Map.of("Chat-Id", "c"));
+        assertComplete(a, "a");
         assertThat(a.header("target")).isNotEqualTo(home);
     }
 
     @Test
-    void engineThatAnswersWithAnErrorIsLeftForAnother() throws Exception {
+    void engineErrorFailsOverToAnotherTarget() throws Exception {
         String home = chat(mRouter1, "a", false, Map.of("Chat-Id", "c")).header("target");
         mFleet.engines().get(home).faults().setDown(true);
-        Caller.Answer a = chat(mRouter1, "a", true, Map.of("Chat-Id", "c"));
-        assertWhole(a, "a");
+        RouterClient.Response a = chat(mRouter1, "a", true, Map.of("Chat-Id", "c"));
+        assertComplete(a, "a");
         assertThat(a.header("target")).isNotEqualTo(home);
     }
 
-    /** A refusal is whole as well: a router that has just started may know no intents yet. */
-    private static boolean isServed(Caller.Answer a) {
-        return a.status() == 200 && a.whole();
+    /** Checks the status too: a router without configuration answers with a complete refusal. */
+    private static boolean isServed(RouterClient.Response a) {
+        return a.status() == 200 && a.complete();
     }
 
     @Test
-    void allRoutersLostAtOnceAndOneBackServesAgain() throws Exception {
+    void restartedRouterServesAfterLossOfAllRouters() throws Exception {
         mFleet.killRouter("entry-1");
         mFleet.killRouter("entry-2");
         Daemon fresh = mFleet.addRouter("entry-3", "hall-a", "std");
-        Waiting.until("it serves", () -> isServed(chat(fresh, "a", true, Map.of())));
-        assertWhole(chat(fresh, "b", true, Map.of()), "b");
+        Await.until("the new router serves", () -> isServed(chat(fresh, "a", true, Map.of())));
+        assertComplete(chat(fresh, "b", true, Map.of()), "b");
     }
 
     @Test
-    void failureDomainLostAtOnceLeavesTheOthersServing() throws Exception {
+    void lossOfAFailureDomainLeavesTheOthersServing() throws Exception {
         mFleet.killTarget("lm-01");
         mFleet.killTarget("gauge-01");
         for (int i = 0; i < 10; i++) {
-            assertWhole(chat(i % 2 == 0 ? mRouter1 : mRouter2, "g" + i, false, Map.of()), "g" + i);
+            assertComplete(
+                    chat(i % 2 == 0 ? mRouter1 : mRouter2, "g" + i, false, Map.of()), "g" + i);
         }
         assertThat(call(mRouter1, "/services/gauge-api/x", "r", Map.of()).status()).isEqualTo(200);
     }
 
     @Test
-    void callerOfAKilledRouterComesBackThroughAnother() throws Exception {
-        CompletableFuture<Caller.Answer> first =
-                chatLater(mRouter1, "a", true, Map.of("Request-Id", "r1"));
-        busyTarget();
+    void callerOfAKilledRouterRetriesThroughAnother() throws Exception {
+        CompletableFuture<RouterClient.Response> first =
+                chatAsync(mRouter1, "a", true, Map.of("Request-Id", "r1"));
+        awaitBusyTarget();
         mFleet.killRouter("entry-1");
-        assertThat(first.get().whole()).isFalse();
-        Caller.Answer second = chat(mRouter2, "a", true, Map.of("Request-Id", "r1"));
-        assertWhole(second, "a");
+        assertThat(first.get().complete()).isFalse();
+        RouterClient.Response second = chat(mRouter2, "a", true, Map.of("Request-Id", "r1"));
+        assertComplete(second, "a");
         assertThat(runs("r1")).isEqualTo(1);
     }
 
     @Test
-    void answersOfManyAtOnceAreNeverMixed() throws Exception {
-        List<CompletableFuture<Caller.Answer>> all = new ArrayList<>();
+    void concurrentResponsesAreNeverMixed() throws Exception {
+        List<CompletableFuture<RouterClient.Response>> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            all.add(chatLater(i % 2 == 0 ? mRouter1 : mRouter2, "g" + i, i % 3 > 0, Map.of()));
+            all.add(chatAsync(i % 2 == 0 ? mRouter1 : mRouter2, "g" + i, i % 3 > 0, Map.of()));
         }
         for (int i = 0; i < 3; i++) {
             mFleet.sidecar("lm-0" + (1 + i)).cutLinks();
             Thread.sleep(50);
         }
         for (int i = 0; i < 60; i++) {
-            assertWhole(all.get(i).get(), "g" + i);
+            assertComplete(all.get(i).get(), "g" + i);
         }
     }
 
     @Test
-    void callerWhoHangsUpEndsTheEnginesWork() throws Exception {
+    void disconnectedCallerCancelsTheEnginesWork() throws Exception {
         try (Socket s = new Socket()) {
             s.connect(mRouter1.callersAddress());
             send(s, "a", 2000);
-            busyTarget();
+            awaitBusyTarget();
         }
-        Waiting.until("the engine's work ends", () -> totalLoad() == 0);
+        Await.until("the engine's work ends", () -> totalLoad() == 0);
         assertThat(cancelled()).isEqualTo(1);
     }
 
     @Test
-    void callerWhoHangsUpWhileWaitingLeavesTheQueue() throws Exception {
+    void disconnectedCallerIsRemovedFromTheQueue() throws Exception {
         mFleet.engines().values().forEach(e -> e.setFrozen(true));
-        List<CompletableFuture<Caller.Answer>> all = new ArrayList<>();
+        List<CompletableFuture<RouterClient.Response>> all = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            all.add(chatLater(mRouter1, "g" + i, true, Map.of()));
+            all.add(chatAsync(mRouter1, "g" + i, true, Map.of()));
         }
-        Waiting.until("every slot is taken", () -> totalLoad() == 24);
+        Await.until("every slot is taken", () -> totalLoad() == 24);
         try (Socket s = new Socket()) {
             s.connect(mRouter1.callersAddress());
             send(s, "late", 5);
-            Waiting.until("it waits", () -> gateLoad() == 25);
+            Await.until("the request is queued", () -> targetLoad() == 25);
         }
-        Waiting.until("it has left the queue", () -> gateLoad() == 24);
+        Await.until("the request has left the queue", () -> targetLoad() == 24);
         mFleet.engines().values().forEach(e -> e.setFrozen(false));
-        for (CompletableFuture<Caller.Answer> a : all) {
-            assertThat(a.get().whole()).isTrue();
+        for (CompletableFuture<RouterClient.Response> a : all) {
+            assertThat(a.get().complete()).isTrue();
         }
     }
 
@@ -191,7 +192,7 @@
         return mFleet.engines().values().stream().mapToInt(EngineStandin::cancelled).sum();
     }
 
-    private double gateLoad() {
+    private double targetLoad() {
         double sum = 0;
         for (String t : List.of("lm-01", "lm-02", "lm-03")) {
             sum += mFleet.sidecar(t).registry().get("forkseam.target.load").gauge().value();
--- a/forkseam-bench/src/test/java/org/forkseam/bench/FleetTestBase.java
+++ b/forkseam-bench/src/test/java/org/forkseam/bench/FleetTestBase.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.Executors;
 
 /**
- * Gives each test two routers, three engines in three failure domains and one plain service, with a
- * configuration in force everywhere. A subclass may change the engines' speed.
+ * Starts a configured fleet for each test: two routers, three engines in three failure domains and
+ * a service with two targets. Subclasses may override the engines' speed.
  */
 abstract class FleetTestBase {
     static final String MODEL = "forecast-lm";
@@ -40,12 +40,12 @@
             pool = gauge
             """;
 
-    final Caller mCaller = new Caller();
+    final RouterClient mClient = new RouterClient();
     final ExecutorService mThreads = Executors.newCachedThreadPool();
     LocalFleet mFleet;
     Daemon mRouter1;
     Daemon mRouter2;
-    Operator mOperator;
+    CliRunner mCli;
 
     EngineStandin.Speed speed() {
         return new EngineStandin.Speed(8, 1000, 5, 1 << 20);
@@ -61,16 +61,18 @@
         mFleet.addEngine("lm-03", "hall-c", MODEL, speed());
         mFleet.addService("gauge-01", "hall-a", "gauge-api", 8);
         mFleet.addService("gauge-02", "hall-b", "gauge-api", 8);
-        mOperator = Operator.of(mRouter1);
-        Waiting.until("all seen", () -> mOperator.run("get", "targets").out().lines().count() == 6);
-        Operator.Result r = mOperator.apply(CONFIG);
+        mCli = CliRunner.of(mRouter1);
+        Await.until(
+                "all targets are listed",
+                () -> mCli.run("get", "targets").out().lines().count() == 6);
+        CliRunner.Result r = mCli.apply(CONFIG);
         assertWithMessage(r.out() + r.err()).that(r.code()).isEqualTo(0);
         waitForConfig(1);
-        Waiting.until("both ready", () -> ready(mRouter1) && ready(mRouter2));
+        Await.until("both routers are ready", () -> ready(mRouter1) && ready(mRouter2));
     }
 
     private boolean ready(Daemon router) throws InterruptedException {
-        return mCaller.send(router.callersAddress(), "GET", "/readyz", "", Map.of()).status()
+        return mClient.send(router.callersAddress(), "GET", "/readyz", "", Map.of()).status()
                 == 200;
     }
 
@@ -80,7 +82,7 @@
         mFleet.close();
     }
 
-    /** Waits until every daemon has this version or a later one in force. */
+    /** Waits until every daemon has applied this configuration version or a later one. */
     void waitForConfig(long version) throws Exception {
         mFleet.waitForConfig(version);
     }
@@ -90,20 +92,22 @@
     }
 
     static String body(String who, int tokens, boolean stream) {
-        return Caller.body(MODEL, List.of(new Caller.Message("user", prompt(who))), tokens, stream);
+        return RouterClient.chatBody(
+                MODEL, List.of(new RouterClient.Message("user", prompt(who))), tokens, stream);
     }
 
     static String expected(String who, int tokens) {
-        return EngineStandin.answerTo(prompt(who), tokens);
+        return EngineStandin.expectedAnswer(prompt(who), tokens);
     }
 
-    Caller.Answer chat(Daemon router, String who, boolean stream, Map<String, String> headers)
+    RouterClient.Response chat(
+            Daemon router, String who, boolean stream, Map<String, String> headers)
             throws InterruptedException {
-        return mCaller.chat(router.callersAddress(), body(who, TOKENS, stream), headers);
+        return mClient.chat(router.callersAddress(), body(who, TOKENS, stream), headers);
     }
 
-    CompletableFuture<Caller.Answer> later(Callable<Caller.Answer> call) {
-        CompletableFuture<Caller.Answer> f = new CompletableFuture<>();
+    CompletableFuture<RouterClient.Response> callAsync(Callable<RouterClient.Response> call) {
+        CompletableFuture<RouterClient.Response> f = new CompletableFuture<>();
         mThreads.execute(
                 () -> {
                     try {
@@ -115,21 +119,21 @@
         return f;
     }
 
-    CompletableFuture<Caller.Answer> chatLater(
+    CompletableFuture<RouterClient.Response> chatAsync(
             Daemon router, String who, boolean stream, Map<String, String> headers) {
-        return later(() -> chat(router, who, stream, headers));
+        return callAsync(() -> chat(router, who, stream, headers));
     }
 
-    void assertWhole(Caller.Answer a, String who) {
+    void assertComplete(RouterClient.Response a, String who) {
         assertWithMessage(a.text()).that(a.status()).isEqualTo(200);
         assertThat(a.text()).isEqualTo(expected(who, TOKENS));
-        assertThat(a.whole()).isTrue();
+        assertThat(a.complete()).isTrue();
     }
 
-    /** Returns the engine that runs something, once there is one. */
-    String busyTarget() throws Exception {
+    /** Waits until an engine is running a request and returns its target. */
+    String awaitBusyTarget() throws Exception {
         String[] found = {null};
-        Waiting.until(
+        Await.until(
                 "an engine is busy",
                 () -> {
                     mFleet.engines().forEach((n, e) -> found[0] = e.load() > 0 ? n : found[0]);
@@ -143,9 +147,9 @@
         return n + mFleet.services().values().stream().mapToInt(s -> s.runs(requestId)).sum();
     }
 
-    Caller.Answer call(Daemon router, String path, String body, Map<String, String> headers)
+    RouterClient.Response call(Daemon router, String path, String body, Map<String, String> headers)
             throws InterruptedException {
-        return mCaller.send(router.callersAddress(), "POST", path, body, headers);
+        return mClient.send(router.callersAddress(), "POST", path, body, headers);
     }
 
     static Map<String, String> unrepeatable(String id) {
--- a/forkseam-bench/src/test/java/org/forkseam/bench/OperatorTest.java
+++ b/forkseam-bench/src/test/java/org/forkseam/bench/OperatorTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** The command line and the pages for operators, against a fleet. */
+/** Guards the command line, the admin API and the commands of the operators' documentation. */
 class OperatorTest extends FleetTestBase {
     private static final Path PAGES = Path.of("..", "docs", "operators");
 
@@ -38,53 +38,53 @@
                 "top --address 127.0.0.1:1     | 3 | cannot be reached",
                 "top --address here            | 2 | allowed: IP:PORT"
             })
-    void wrongCommandIsToldOnOneLineAndChangesNothing(String command, int code, String message) {
-        Operator.Result r = mOperator.run(command.trim().split(" +"));
+    void invalidCommandPrintsOneLineAndChangesNothing(String command, int code, String message) {
+        CliRunner.Result r = mCli.run(command.trim().split(" +"));
         assertWithMessage(r.out() + r.err()).that(r.code()).isEqualTo(code);
         assertThat(r.err().lines().findFirst().orElse("")).contains(message.trim());
-        assertThat(mOperator.run("config", "history").out().lines().count()).isEqualTo(2);
+        assertThat(mCli.run("config", "history").out().lines().count()).isEqualTo(2);
     }
 
     @Test
     void everyCommandHasHelpWithAnExample() {
         for (String c : List.of("apply", "get", "label", "drain", "config", "explain", "top")) {
-            Operator.Result r = mOperator.run(c, "--help");
+            CliRunner.Result r = mCli.run(c, "--help");
             assertThat(r.code()).isEqualTo(0);
             assertThat(r.out()).contains("example: forkseam " + c);
         }
     }
 
     @Test
-    void explainShowsTheWayOfARequestAcrossDaemons() throws Exception {
+    void explainShowsTheRouteOfARequestAcrossDaemons() throws Exception {
         chat(mRouter1, "a", false, Map.of("Request-Id", "why-1"));
-        Operator.Result r = Operator.of(mRouter2).run("explain", "why-1");
+        CliRunner.Result r = CliRunner.of(mRouter2).run("explain", "why-1");
         assertThat(r.code()).isEqualTo(0);
         assertThat(r.out()).contains("intent chats pool lm");
         assertThat(r.out()).contains("candidate why=HOME");
         assertThat(r.out()).contains("started");
         assertThat(r.out()).contains("answered");
-        assertThat(mOperator.run("explain", "never-seen").code()).isEqualTo(1);
+        assertThat(mCli.run("explain", "never-seen").code()).isEqualTo(1);
     }
 
     @Test
     void dumpHidesSecretsAndMetricsAreServed() throws Exception {
-        String dump = mOperator.run("dump").out();
+        String dump = mCli.run("dump").out();
         assertThat(dump).contains("config_version");
         assertThat(dump).doesNotContain(LocalFleet.OPERATORS_KEY);
         assertThat(mRouter1.registry().scrape()).contains("forkseam_router_requests_total");
     }
 
     @Test
-    void requestsWithoutAKeyAreCountedAndTurnedAway() throws Exception {
-        Caller.Answer a =
-                mCaller.send(mRouter1.operatorsAddress(), "GET", "/v1/dump", "", Map.of());
+    void requestsWithoutAKeyAreCountedAndRejected() throws Exception {
+        RouterClient.Response a =
+                mClient.send(mRouter1.operatorsAddress(), "GET", "/v1/dump", "", Map.of());
         assertThat(a.status()).isEqualTo(401);
         assertThat(a.text()).doesNotContain("hosts");
         assertThat(mRouter1.registry().get("forkseam.admin.unauthorized").counter().count())
                 .isEqualTo(1.0);
     }
 
-    /** Every line of the pages that starts with {@code $ forkseam} must run as it stands. */
+    /** Runs every documentation line that starts with {@code $ forkseam}. */
     @Test
     void commandsOnThePagesWork() throws Exception {
         chat(mRouter1, "a", false, Map.of("Request-Id", "alert-7"));
@@ -105,7 +105,7 @@
 
     private void runFromPage(Path page, String command) {
         String[] args = command.replace("samples/", "../samples/").split(" +");
-        Operator.Result r = mOperator.run(args);
+        CliRunner.Result r = mCli.run(args);
         assertWithMessage(page.getFileName() + ": " + command + "\n" + r.out() + r.err())
                 .that(r.code())
                 .isEqualTo(0);
--- a/forkseam-bench/src/test/java/org/forkseam/bench/OrdersTest.java
+++ b/forkseam-bench/src/test/java/org/forkseam/bench/OrdersTest.java
@@ -11,7 +11,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What a deployment declares is what its engines come to run, ordered by one holder at a time. */
+/** Guards against rollouts that stall or are ordered by more than one lease holder. */
 class OrdersTest extends FleetTestBase {
     private static final String DEPLOYMENT =
             """
@@ -24,7 +24,7 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private int running(String version) {
+    private int countEnginesOrdered(String version) {
         int n = 0;
         for (EngineStandin e : mFleet.engines().values()) {
             if (!e.orders().isEmpty()) {
@@ -36,25 +36,27 @@
     }
 
     @Test
-    void enginesAreOrderedOneAfterAnotherAndAHolderThatIsLostIsSucceeded() throws Exception {
-        assertThat(mOperator.apply(DEPLOYMENT.formatted("2")).code()).isEqualTo(0);
-        Waiting.until("all run version 2", () -> running("2") == 3);
-        Set<String> fences = fences();
-        assertThat(fences).hasSize(1);
-        String holder = holder();
+    void enginesAreOrderedOneByOneAndALostLeaseHolderIsReplaced() throws Exception {
+        assertThat(mCli.apply(DEPLOYMENT.formatted("2")).code()).isEqualTo(0);
+        Await.until("all run version 2", () -> countEnginesOrdered("2") == 3);
+        Set<String> tokens = fencingTokens();
+        assertThat(tokens).hasSize(1);
+        String holder = leaseHolder();
         if (holder.startsWith("entry-")) {
             mFleet.killRouter(holder);
         } else {
             mFleet.killSidecar(holder.substring("host-".length()));
         }
         int left = holder.startsWith("host-lm") ? 2 : 3;
-        Operator o = Operator.of(mFleet.daemons().get(0));
-        assertThat(o.apply(DEPLOYMENT.formatted("3")).code()).isEqualTo(0);
-        Waiting.until("a new holder orders version 3", () -> running("3") >= Math.min(1, left));
-        assertThat(fences().size()).isGreaterThan(1);
+        CliRunner cli = CliRunner.of(mFleet.daemons().get(0));
+        assertThat(cli.apply(DEPLOYMENT.formatted("3")).code()).isEqualTo(0);
+        Await.until(
+                "a new lease holder orders version 3",
+                () -> countEnginesOrdered("3") >= Math.min(1, left));
+        assertThat(fencingTokens().size()).isGreaterThan(1);
     }
 
-    private Set<String> fences() {
+    private Set<String> fencingTokens() {
         Set<String> out = new HashSet<>();
         for (EngineStandin e : mFleet.engines().values()) {
             e.orders().forEach(o -> out.add(o.replaceAll(".*\"fence\":(\\d+).*", "$1")));
@@ -62,13 +64,13 @@
         return out;
     }
 
-    private String holder() throws Exception {
+    private String leaseHolder() throws Exception {
         String[] found = {""};
-        Waiting.until(
-                "somebody holds the lease",
+        Await.until(
+                "a daemon holds the lease",
                 () -> {
                     for (var d : mFleet.daemons()) {
-                        JsonNode n = JSON.readTree(Operator.of(d).run("dump").out());
+                        JsonNode n = JSON.readTree(CliRunner.of(d).run("dump").out());
                         if (n.path("rollouts").path("lm").path("holder").asBoolean()) {
                             found[0] = n.path("host").asText();
                         }
--- a/forkseam-bench/src/test/java/org/forkseam/bench/ProcessTest.java
+++ b/forkseam-bench/src/test/java/org/forkseam/bench/ProcessTest.java
@@ -25,13 +25,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Two routers and three sidecars as processes of their own, started from settings files. */
+/** Runs two routers and three sidecars as separate processes, started from settings files. */
 class ProcessTest {
     private static final String MODEL = "forecast-lm";
 
     @TempDir Path mDir;
 
-    private final Caller mCaller = new Caller();
+    private final RouterClient mClient = new RouterClient();
     private final Map<String, Process> mProcesses = new HashMap<>();
     private final List<EngineStandin> mEngines = new ArrayList<>();
     private final Map<String, InetSocketAddress> mCallers = new TreeMap<>();
@@ -67,28 +67,29 @@
     private void router(String host) throws Exception {
         InetSocketAddress callers = freeAddress();
         mCallers.put(host, callers);
-        String more =
+        String extraSettings =
                 "[callers]\nlisten = %s\nticket-key = ticket-key-of-tests\n"
-                        .formatted(LocalFleet.text(callers));
-        daemon(host, "router", more, Labels.of(Map.of("role", "router")));
+                        .formatted(LocalFleet.toHostPort(callers));
+        daemon(host, "router", extraSettings, Labels.of(Map.of("role", "router")));
     }
 
     private void sidecar(String target) throws Exception {
         EngineStandin e =
                 EngineStandin.start(target, new EngineStandin.Speed(8, 1000, 5, 1 << 20), true);
         mEngines.add(e);
-        String more =
+        String extraSettings =
                 "[target]\nname = %s\nkind = engine\nurl = %s\ncapacity = 8\n"
                         .formatted(target, e.url());
         Map<String, String> labels =
                 Map.of("role", "sidecar", "target", target, "model", MODEL, "capacity", "8");
-        daemon("host-" + target, "sidecar", more, Labels.of(labels));
+        daemon("host-" + target, "sidecar", extraSettings, Labels.of(labels));
     }
 
-    private void daemon(String host, String role, String more, Labels labels) throws Exception {
+    private void daemon(String host, String role, String extraSettings, Labels labels)
+            throws Exception {
         InetSocketAddress wire = freeAddress();
         InetSocketAddress operators = freeAddress();
-        mOperators = role.equals("router") ? LocalFleet.text(operators) : mOperators;
+        mOperators = role.equals("router") ? LocalFleet.toHostPort(operators) : mOperators;
         String text =
                 """
                 [daemon]
@@ -110,14 +111,14 @@
                         .formatted(
                                 role,
                                 host,
-                                LocalFleet.text(wire),
-                                LocalFleet.text(operators),
+                                LocalFleet.toHostPort(wire),
+                                LocalFleet.toHostPort(operators),
                                 mPlatform.tableUrl(),
                                 mPlatform.bucketUrl(),
                                 mPlatform.hostsUrl());
-        Path file = Files.writeString(mDir.resolve(host + ".ini"), text + more);
+        Path file = Files.writeString(mDir.resolve(host + ".ini"), text + extraSettings);
         mProcesses.put(host, start(file.toString()));
-        mPlatform.putHost(new HostEntry(host, LocalFleet.text(wire), false, labels));
+        mPlatform.putHost(new HostEntry(host, LocalFleet.toHostPort(wire), false, labels));
     }
 
     private Process start(String... settings) throws Exception {
@@ -132,14 +133,14 @@
                 .start();
     }
 
-    private Operator.Result operator(String... args) {
-        return Operator.at(mOperators, "operators-key").run(args);
+    private CliRunner.Result runCli(String... args) {
+        return CliRunner.at(mOperators, "operators-key").run(args);
     }
 
     @Test
-    void servesStreamsThroughBothRoutersAndStopsWithoutCutting() throws Exception {
-        Waiting.until(
-                "all daemons answer", () -> operator("get", "targets").out().lines().count() == 4);
+    void servesStreamsThroughBothRoutersAndStopsGracefully() throws Exception {
+        Await.until(
+                "all daemons answer", () -> runCli("get", "targets").out().lines().count() == 4);
         Path config =
                 Files.writeString(
                         mDir.resolve("fleet.conf"),
@@ -150,12 +151,12 @@
 [intent all]
 pool = lm
 """);
-        assertThat(operator("apply", "-f", config.toString()).code()).isEqualTo(0);
+        assertThat(runCli("apply", "-f", config.toString()).code()).isEqualTo(0);
         for (InetSocketAddress r : mCallers.values()) {
-            Waiting.until(
-                    "ready", () -> mCaller.send(r, "GET", "/readyz", "", Map.of()).status() == 200);
+            Await.until(
+                    "ready", () -> mClient.send(r, "GET", "/readyz", "", Map.of()).status() == 200);
         }
-        List<CompletableFuture<Caller.Answer>> all = new ArrayList<>();
+        List<CompletableFuture<RouterClient.Response>> all = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             InetSocketAddress r = mCallers.get("entry-" + (1 + i % 2));
             String body = FleetTestBase.body("g" + i, 60, true);
@@ -163,49 +164,47 @@
                     CompletableFuture.supplyAsync(
                             () -> {
                                 try {
-                                    return mCaller.chat(r, body, Map.of());
+                                    return mClient.chat(r, body, Map.of());
                                 } catch (InterruptedException e) {
                                     throw new IllegalStateException(e);
                                 }
                             }));
         }
-        Waiting.until(
-                "streams run", () -> mEngines.stream().mapToInt(EngineStandin::load).sum() > 0);
+        Await.until("streams run", () -> mEngines.stream().mapToInt(EngineStandin::load).sum() > 0);
         mProcesses.get("host-lm-02").destroy();
         for (int i = 0; i < 20; i++) {
-            Caller.Answer a = all.get(i).get();
+            RouterClient.Response a = all.get(i).get();
             assertThat(a.status()).isEqualTo(200);
             assertThat(a.text()).isEqualTo(FleetTestBase.expected("g" + i, 60));
-            assertThat(a.whole()).isTrue();
+            assertThat(a.complete()).isTrue();
         }
         Process stopped = mProcesses.get("host-lm-02");
         assertThat(stopped.waitFor(30, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
-    void frozenSidecarIsCutOffAndAnotherTargetServes() throws Exception {
-        Waiting.until(
-                "all daemons answer", () -> operator("get", "targets").out().lines().count() == 4);
+    void frozenSidecarFailsOverToAnotherTarget() throws Exception {
+        Await.until(
+                "all daemons answer", () -> runCli("get", "targets").out().lines().count() == 4);
         Path config = Files.writeString(mDir.resolve("f"), "[pool lm]\n[intent all]\npool = lm\n");
-        assertThat(operator("apply", "-f", config.toString()).code()).isEqualTo(0);
+        assertThat(runCli("apply", "-f", config.toString()).code()).isEqualTo(0);
         InetSocketAddress r = mCallers.get("entry-1");
-        Waiting.until(
-                "ready", () -> mCaller.send(r, "GET", "/readyz", "", Map.of()).status() == 200);
+        Await.until("ready", () -> mClient.send(r, "GET", "/readyz", "", Map.of()).status() == 200);
         String body = FleetTestBase.body("a", 400, false);
-        CompletableFuture<Caller.Answer> answer =
+        CompletableFuture<RouterClient.Response> answer =
                 CompletableFuture.supplyAsync(
                         () -> {
                             try {
-                                return mCaller.chat(r, body, Map.of());
+                                return mClient.chat(r, body, Map.of());
                             } catch (InterruptedException e) {
                                 throw new IllegalStateException(e);
                             }
                         });
-        Waiting.until("it runs", () -> mEngines.stream().anyMatch(e -> e.load() > 0));
+        Await.until("an engine is busy", () -> mEngines.stream().anyMatch(e -> e.load() > 0));
         int busy = mEngines.get(0).load() > 0 ? 1 : mEngines.get(1).load() > 0 ? 2 : 3;
         Process frozen = mProcesses.get("host-lm-0" + busy);
         signal("STOP", frozen);
-        Caller.Answer a = answer.get();
+        RouterClient.Response a = answer.get();
         signal("CONT", frozen);
         assertThat(a.status()).isEqualTo(200);
         assertThat(a.text()).isEqualTo(FleetTestBase.expected("a", 400));
--- a/forkseam-bench/src/test/java/org/forkseam/bench/ServingTest.java
+++ b/forkseam-bench/src/test/java/org/forkseam/bench/ServingTest.java
@@ -15,21 +15,21 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** The path as callers see it when nothing fails, and what malformed requests get. */
+/** Guards request serving without faults, and the handling of malformed requests. */
 class ServingTest extends FleetTestBase {
     private static final String CALLS = "/services/gauge-api/";
     private static final String ASK = "{\"stream_options\":{\"include_usage\":true},";
 
     @Test
-    void streamedAndWholeAnswersAreExact() throws Exception {
-        assertWhole(chat(mRouter1, "a", true, Map.of()), "a");
-        assertWhole(chat(mRouter2, "b", false, Map.of()), "b");
+    void streamedAndUnstreamedResponsesAreExact() throws Exception {
+        assertComplete(chat(mRouter1, "a", true, Map.of()), "a");
+        assertComplete(chat(mRouter2, "b", false, Map.of()), "b");
     }
 
     @Test
     void chatReturnsToItsTargetThroughEitherRouter() throws Exception {
-        Caller.Answer first = chat(mRouter1, "a", true, Map.of("Chat-Id", "c1"));
-        Caller.Answer second =
+        RouterClient.Response first = chat(mRouter1, "a", true, Map.of("Chat-Id", "c1"));
+        RouterClient.Response second =
                 chat(
                         mRouter2,
                         "a",
@@ -42,27 +42,27 @@
 
     @Test
     void modelsAreListed() throws Exception {
-        Caller.Answer a =
-                mCaller.send(mRouter1.callersAddress(), "GET", "/v1/models", "", Map.of());
+        RouterClient.Response a =
+                mClient.send(mRouter1.callersAddress(), "GET", "/v1/models", "", Map.of());
         assertThat(a.status()).isEqualTo(200);
         assertThat(a.text()).contains("\"id\":\"forecast-lm\"");
     }
 
     @Test
-    void quotaHoldsOverBothRoutersAndGoesWhereTheTrafficIs() throws Exception {
-        mOperator.apply("[team loud]\nrequests-per-second = 20\nburst = 2\n");
+    void quotaHoldsAcrossRoutersAndFollowsTheTraffic() throws Exception {
+        mCli.apply("[team loud]\nrequests-per-second = 20\nburst = 2\n");
         waitForConfig(2);
-        Waiting.until(
+        Await.until(
                 "one router is granted most of the quota",
                 () -> {
                     int served = 0;
                     for (int i = 0; i < 100; i++) {
-                        served += quota(mRouter1) == 200 ? 1 : 0;
+                        served += callAsLoudTeam(mRouter1) == 200 ? 1 : 0;
                         Thread.sleep(10);
                     }
                     return served > 12;
                 });
-        Caller.Answer refused = null;
+        RouterClient.Response refused = null;
         while (refused == null || refused.status() == 200) {
             refused = call(mRouter1, CALLS, "x", Map.of("Team", "loud"));
         }
@@ -72,7 +72,7 @@
         assertThat(call(mRouter1, CALLS, "x", Map.of("Team", "quiet")).status()).isEqualTo(200);
     }
 
-    private int quota(Daemon router) throws InterruptedException {
+    private int callAsLoudTeam(Daemon router) throws InterruptedException {
         return call(router, CALLS, "x", Map.of("Team", "loud")).status();
     }
 
@@ -80,11 +80,11 @@
     void usageGoesOnlyToCallersWhoAskedForIt() throws Exception {
         String plain = body("a", 4, true);
         String asking = ASK + plain.substring(1);
-        assertThat(raw(plain)).doesNotContain("usage");
-        assertThat(raw(asking)).contains("cached_tokens");
+        assertThat(postRaw(plain)).doesNotContain("usage");
+        assertThat(postRaw(asking)).contains("cached_tokens");
     }
 
-    private String raw(String body) throws Exception {
+    private String postRaw(String body) throws Exception {
         String head =
                 "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
                         + "Connection: close\r\nContent-Length: "
@@ -106,8 +106,8 @@
     @ParameterizedTest
     @CsvSource({"GET", "POST", "PUT", "DELETE", "PATCH"})
     void serviceGetsAnyMethodAndPath(String method) throws Exception {
-        Caller.Answer a =
-                mCaller.send(
+        RouterClient.Response a =
+                mClient.send(
                         mRouter1.callersAddress(),
                         method,
                         "/services/gauge-api/stations/12/raw?from=1&to=2",
@@ -144,7 +144,7 @@
                         ? Map.of()
                         : Map.of(header.split("=", 2)[0], header.split("=", 2)[1]);
         String at = path.replace("CHAT", "/v1/chat/completions").replace("CALL", CALLS);
-        Caller.Answer a = call(mRouter1, at, body, headers);
+        RouterClient.Response a = call(mRouter1, at, body, headers);
         assertWithMessage(a.text()).that(a.status()).isEqualTo(status);
         assertThat(a.text()).contains(message);
         assertThat(a.text()).doesNotContain("Exception");
@@ -162,12 +162,12 @@
         String answer = exchange(request.replace("\\r", "\r").replace("\\n", "\n"));
         assertThat(answer).doesNotContain("Exception");
         assertThat(answer).doesNotContain(" 200 ");
-        assertWhole(chat(mRouter1, "a", true, Map.of()), "a");
+        assertComplete(chat(mRouter1, "a", true, Map.of()), "a");
     }
 
     @Test
-    void plainServiceSeesOnlyWhatCallersSent() throws Exception {
-        Waiting.until(
+    void serviceReceivesOnlyCallersRequests() throws Exception {
+        Await.until(
                 "engines are asked for their cache events",
                 () -> mFleet.engines().values().stream().allMatch(e -> e.requests() > 1));
         mFleet.services().values().forEach(s -> assertThat(s.faults().requests()).isEqualTo(0));
@@ -175,9 +175,10 @@
 
     @Test
     void oversizedBodyIsRefused() throws Exception {
-        Caller.Answer a = call(mRouter1, "/services/gauge-api/x", "x".repeat(5 << 20), Map.of());
+        RouterClient.Response a =
+                call(mRouter1, "/services/gauge-api/x", "x".repeat(5 << 20), Map.of());
         assertThat(a.status() == 413 || a.status() == 400 || a.status() == 0).isTrue();
-        assertWhole(chat(mRouter1, "a", true, Map.of()), "a");
+        assertComplete(chat(mRouter1, "a", true, Map.of()), "a");
     }
 
     @Test
@@ -186,21 +187,21 @@
             s.connect(mRouter1.callersAddress());
             s.setSoTimeout(20_000);
             s.getOutputStream().write("POST /v1/chat/completions HTTP/1.1\r\n".getBytes(UTF_8));
-            CompletableFuture<Caller.Answer> stream =
-                    later(
+            CompletableFuture<RouterClient.Response> stream =
+                    callAsync(
                             () ->
-                                    mCaller.chat(
+                                    mClient.chat(
                                             mRouter1.callersAddress(),
                                             body("long", 400, true),
                                             Map.of()));
             assertThat(s.getInputStream().read()).isEqualTo(-1);
             assertThat(stream.get().text()).isEqualTo(expected("long", 400));
-            assertThat(stream.get().whole()).isTrue();
+            assertThat(stream.get().complete()).isTrue();
         }
     }
 
     @Test
-    void callerWhoDoesNotReadHoldsBackTheWholePath() throws Exception {
+    void slowReaderAppliesBackPressureToTheWholePath() throws Exception {
         int tokens = 150_000;
         try (Socket s = new Socket()) {
             s.setReceiveBufferSize(16 << 10);
@@ -211,11 +212,11 @@
             String length = "Content-Length: " + body.length() + "\r\n\r\n";
             s.getOutputStream().write((head + length + body).getBytes(UTF_8));
             double[] last = {-1};
-            Waiting.until(
-                    "the flow has come to a stand",
+            Await.until(
+                    "the sidecars have stopped sending",
                     () -> {
                         Thread.sleep(300);
-                        double now = sentBySidecars();
+                        double now = bytesSentBySidecars();
                         boolean still = now > 100_000 && now == last[0];
                         last[0] = now;
                         return still;
@@ -223,11 +224,11 @@
             assertThat(last[0]).isLessThan(10e6);
             String all = new String(s.getInputStream().readAllBytes(), UTF_8);
             assertThat(all).contains("[DONE]");
-            assertThat(sentBySidecars()).isGreaterThan(15e6);
+            assertThat(bytesSentBySidecars()).isGreaterThan(15e6);
         }
     }
 
-    private double sentBySidecars() {
+    private double bytesSentBySidecars() {
         double sum = 0;
         for (String t : List.of("lm-01", "lm-02", "lm-03")) {
             var counter = mFleet.sidecar(t).registry().get("forkseam.data.bytes");
--- a/forkseam-bench/src/test/java/org/forkseam/bench/UnrepeatableTest.java
+++ b/forkseam-bench/src/test/java/org/forkseam/bench/UnrepeatableTest.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** An unrepeatable request runs at most once, and "not run" is true, through every failure. */
+/** Guards against unrepeatable requests that run twice or are wrongly reported as not run. */
 class UnrepeatableTest extends FleetTestBase {
     private static final String PATH = "/services/gauge-api/alerts/confirm";
 
     @Test
-    void repeatsThroughBothRoutersGetTheOneAnswer() throws Exception {
+    void repeatsThroughBothRoutersReturnTheSameResponse() throws Exception {
         mFleet.services().values().forEach(s -> s.faults().setDelayMillis(100));
-        List<CompletableFuture<Caller.Answer>> all = new ArrayList<>();
+        List<CompletableFuture<RouterClient.Response>> all = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             var router = i % 2 == 0 ? mRouter1 : mRouter2;
-            all.add(later(() -> call(router, PATH, "alert 7", unrepeatable("u1"))));
+            all.add(callAsync(() -> call(router, PATH, "alert 7", unrepeatable("u1"))));
         }
-        for (CompletableFuture<Caller.Answer> a : all) {
+        for (CompletableFuture<RouterClient.Response> a : all) {
             assertThat(a.get().status()).isEqualTo(200);
             assertThat(a.get().text()).contains("alert 7");
         }
@@ -33,40 +33,40 @@
     @Test
     void sameIdForAnotherRequestIsRefused() throws Exception {
         call(mRouter1, PATH, "alert 7", unrepeatable("u1"));
-        Caller.Answer a = call(mRouter2, PATH, "alert 8", unrepeatable("u1"));
+        RouterClient.Response a = call(mRouter2, PATH, "alert 8", unrepeatable("u1"));
         assertThat(a.status()).isEqualTo(409);
         assertThat(a.text()).contains("different request");
         assertThat(runs("u1")).isEqualTo(1);
     }
 
     @Test
-    void lostAnswerOfTheStoreIsSettledByReadingBack() throws Exception {
-        mFleet.platform().table().loseAnswers(1);
-        Caller.Answer a = call(mRouter1, PATH, "alert 7", unrepeatable("u1"));
+    void lostStoreResponseIsResolvedByReadingBack() throws Exception {
+        mFleet.platform().tableFaults().loseResponses(1);
+        RouterClient.Response a = call(mRouter1, PATH, "alert 7", unrepeatable("u1"));
         assertThat(a.status()).isEqualTo(200);
         assertThat(runs("u1")).isEqualTo(1);
     }
 
     @Test
-    void storeOutageMeansNotRunAndRepeatableRequestsGoOn() throws Exception {
-        mFleet.platform().table().setDown(true);
-        Caller.Answer a = call(mRouter1, PATH, "alert 7", unrepeatable("u1"));
+    void storeOutageReportsNotRunAndRepeatableRequestsAreServed() throws Exception {
+        mFleet.platform().tableFaults().setDown(true);
+        RouterClient.Response a = call(mRouter1, PATH, "alert 7", unrepeatable("u1"));
         assertThat(a.status()).isEqualTo(503);
         assertThat(a.header("outcome")).isEqualTo("not-run");
         assertThat(a.header("retry-after-ms")).isNotEmpty();
         assertThat(runs("u1")).isEqualTo(0);
         assertThat(call(mRouter1, PATH, "reading", Map.of()).status()).isEqualTo(200);
-        mFleet.platform().table().setDown(false);
+        mFleet.platform().tableFaults().setDown(false);
         assertThat(call(mRouter2, PATH, "alert 7", unrepeatable("u1")).status()).isEqualTo(200);
         assertThat(runs("u1")).isEqualTo(1);
     }
 
     @Test
-    void ownerLostWhileRunningMeansMayHaveRunAndNeverASecondRun() throws Exception {
+    void ownerLostWhileRunningReportsMayHaveRunAndNeverRunsAgain() throws Exception {
         mFleet.services().values().forEach(s -> s.faults().setDelayMillis(60_000));
-        CompletableFuture<Caller.Answer> first =
-                later(() -> call(mRouter1, PATH, "alert 7", unrepeatable("u1")));
-        Waiting.until("it runs", () -> runs("u1") == 1);
+        CompletableFuture<RouterClient.Response> first =
+                callAsync(() -> call(mRouter1, PATH, "alert 7", unrepeatable("u1")));
+        Await.until("it runs", () -> runs("u1") == 1);
         String owner =
                 mFleet.services().entrySet().stream()
                         .filter(e -> e.getValue().runs("u1") == 1)
@@ -76,28 +76,28 @@
         mFleet.killSidecar(owner);
         assertThat(first.get().header("outcome")).isEqualTo("may-have-run");
         mFleet.services().values().forEach(s -> s.faults().setDelayMillis(0));
-        Caller.Answer again = call(mRouter2, PATH, "alert 7", unrepeatable("u1"));
+        RouterClient.Response again = call(mRouter2, PATH, "alert 7", unrepeatable("u1"));
         assertThat(again.header("outcome")).isEqualTo("may-have-run");
         assertThat(runs("u1")).isEqualTo(1);
     }
 
     @Test
-    void targetThatIsDownIsNotRunAndAnotherTakesTheClaimOver() throws Exception {
+    void unreachableTargetReportsNotRunAndAnotherTakesOverTheClaim() throws Exception {
         mFleet.services().get("gauge-01").kill();
         for (int i = 0; i < 8; i++) {
-            Caller.Answer a = call(mRouter1, PATH, "alert " + i, unrepeatable("u" + i));
+            RouterClient.Response a = call(mRouter1, PATH, "alert " + i, unrepeatable("u" + i));
             assertThat(a.status()).isEqualTo(200);
             assertThat(runs("u" + i)).isEqualTo(1);
         }
     }
 
     @Test
-    void callerWhoHangsUpFindsTheAnswerWhenItComesBack() throws Exception {
+    void disconnectedCallerGetsTheResponseOnReconnect() throws Exception {
         mFleet.services().values().forEach(s -> s.faults().setDelayMillis(300));
-        later(() -> call(mRouter1, PATH, "alert 7", unrepeatable("u1")));
-        Waiting.until("it runs", () -> runs("u1") == 1);
+        callAsync(() -> call(mRouter1, PATH, "alert 7", unrepeatable("u1")));
+        Await.until("it runs", () -> runs("u1") == 1);
         mFleet.killRouter("entry-1");
-        Caller.Answer a = call(mRouter2, PATH, "alert 7", unrepeatable("u1"));
+        RouterClient.Response a = call(mRouter2, PATH, "alert 7", unrepeatable("u1"));
         assertThat(a.status()).isEqualTo(200);
         assertThat(runs("u1")).isEqualTo(1);
     }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/TxnResult.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/TxnResult.java
@@ -21,7 +21,7 @@
     /**
      * No response arrived: the writes may have taken effect, or may still do so.
      *
-     * @param why cause of the missing response
+     * @param reason cause of the missing response
      */
     record Unknown(String reason) implements TxnResult {}
 }
--- a/forkseam-platform/src/main/java/org/forkseam/platform/WeightStore.java
+++ b/forkseam-platform/src/main/java/org/forkseam/platform/WeightStore.java
@@ -16,7 +16,7 @@
         /**
          * The rate limit is exhausted.
          *
-         * @param afterMillis delay before the next request
+         * @param retryAfterMillis delay before the next request
          */
         record RateLimited(long retryAfterMillis) implements Permit {}
 
--- a/forkseam-standin/src/main/java/org/forkseam/standin/EngineStandin.java
+++ b/forkseam-standin/src/main/java/org/forkseam/standin/EngineStandin.java
@@ -29,11 +29,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stands in for a model engine: batches continuously, keeps prompt prefixes in limited memory,
- * honours priorities, lets streams be resumed and cancelled, and takes orders.
+ * Test double of a model engine with continuous batching, a bounded prefix cache, priorities,
+ * resumable and cancellable streams, and model orders.
  *
- * <p>What it answers is a function of the prompt alone, so that a test can tell whose answer it
- * holds and whether it is whole. Thread-safe from outside.
+ * <p>The response depends on the prompt alone, so tests can verify that it belongs to the request
+ * and is complete. Public methods are thread-safe.
  */
 public final class EngineStandin {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -42,9 +42,9 @@
 
     private final StandinServer mServer;
     private final Speed mSpeed;
-    private final Faults mFaults = new Faults();
+    private final FaultInjection mFaults = new FaultInjection();
     private final PrefixCache mCache;
-    private final boolean mChecksFences;
+    private final boolean mChecksFencingTokens;
     private final Map<String, Generation> mGenerations = new HashMap<>();
     private final PriorityQueue<Generation> mWaiting =
             new PriorityQueue<>(
@@ -54,28 +54,28 @@
     private final List<String> mOrders = new CopyOnWriteArrayList<>();
     private int mRunning;
     private long mArrivals;
-    private long mFence;
-    private int mShownLoad;
-    private boolean mChanging;
+    private long mLastFencingToken;
+    private int mReportedLoad;
+    private boolean mOrderPending;
     private JsonNode mState = JSON.createObjectNode();
-    private volatile long mOrderMillis = 100;
+    private volatile long mOrderDelayMillis = 100;
     private final AtomicInteger mCancelled = new AtomicInteger();
-    private volatile int mPeak;
+    private volatile int mPeakLoad;
     private final AtomicInteger mLoad = new AtomicInteger();
     private volatile boolean mFrozen;
-    private volatile int mBreakAfter = -1;
+    private volatile int mAbortAfterEvents = -1;
 
     /**
-     * Says how fast an engine is.
+     * Performance of an engine.
      *
-     * @param slots requests it runs at once
-     * @param prefillTokensPerMilli tokens of a prompt read in a millisecond
-     * @param tokenMillis between two tokens
-     * @param cacheTokens tokens of prompts kept
+     * @param slots maximum number of concurrently running requests
+     * @param prefillTokensPerMilli prompt tokens processed per millisecond
+     * @param tokenMillis time between two generated tokens
+     * @param cacheTokens capacity of the prefix cache in tokens
      */
     public record Speed(
             int slots, double prefillTokensPerMilli, long tokenMillis, int cacheTokens) {
-        /** Returns a speed for tests that need no delays. */
+        /** Returns a speed without delays. */
         public static Speed fast() {
             return new Speed(64, 1e6, 0, 1 << 20);
         }
@@ -84,99 +84,99 @@
     private EngineStandin(String name, Speed speed, boolean checksFences) {
         mServer = StandinServer.of(name);
         mSpeed = speed;
-        mChecksFences = checksFences;
+        mChecksFencingTokens = checksFences;
         mCache = new PrefixCache(speed.cacheTokens() / PrefixCache.BLOCK_TOKENS);
     }
 
-    /** Starts an engine on a free port of the loopback. */
+    /** Starts an engine on a free loopback port. */
     public static EngineStandin start(String name, Speed speed, boolean checksFences)
             throws InterruptedException, ExecutionException {
         EngineStandin e = new EngineStandin(name, speed, checksFences);
-        e.mServer.start(StandinServer.anyPort(), e::serve);
-        e.mServer.loop().execute(e::showLoad);
+        e.mServer.start(StandinServer.freeLoopbackPort(), e::serve);
+        e.mServer.loop().execute(e::publishLoad);
         return e;
     }
 
-    // ---------------------------------------------------------------- for tests
+    // ---------------------------------------------------------------- test controls
 
     /** Returns the engine's base URL. */
     public String url() {
         return mServer.url();
     }
 
-    /** Returns the faults: an engine that is down answers chats with 503. */
-    public Faults faults() {
+    /** Returns the fault injection; a down engine answers chats with 503. */
+    public FaultInjection faults() {
         return mFaults;
     }
 
-    /** Returns requests counted, of whatever kind. */
+    /** Returns the number of requests of any kind received. */
     public int requests() {
         return mFaults.requests();
     }
 
-    /** Crashes the engine: every connection is closed at once. */
+    /** Simulates a crash: closes every connection and stops listening. */
     public void kill() throws InterruptedException, ExecutionException {
         mServer.kill();
     }
 
-    /** Ends the engine's thread. */
+    /** Stops the server and its thread. */
     public void stop() throws InterruptedException {
         mServer.stop();
     }
 
-    /** Stops the engine from making progress, or lets it go on. */
+    /** Suspends or resumes the generation of tokens. */
     public void setFrozen(boolean frozen) {
         mFrozen = frozen;
     }
 
-    /** Sets how long an order takes to take effect. */
-    public void setOrderMillis(long millis) {
-        mOrderMillis = millis;
+    /** Sets the time until an order takes effect. */
+    public void setOrderDelayMillis(long millis) {
+        mOrderDelayMillis = millis;
     }
 
-    /** Returns the orders taken, the earliest first. */
+    /** Returns the accepted orders, oldest first. */
     public List<String> orders() {
         return List.copyOf(mOrders);
     }
 
-    /** Makes answers break off after so many events; -1 for never. */
-    public void setBreakAfter(int events) {
-        mBreakAfter = events;
+    /** Aborts streams after the given number of events; -1 for never. */
+    public void setAbortAfterEvents(int events) {
+        mAbortAfterEvents = events;
     }
 
-    /** Drops all cached prefixes. */
+    /** Clears the prefix cache. */
     public void clearCache() {
         mServer.loop().execute(mCache::clear);
     }
 
-    /** Returns how often the requests of one id were run. */
+    /** Returns the number of executions of a request id. */
     public int runs(String requestId) {
         AtomicInteger n = mRuns.get(requestId);
         return n == null ? 0 : n.get();
     }
 
-    /** Returns how often each request id was run. */
+    /** Returns the number of executions by request id. */
     public Map<String, AtomicInteger> allRuns() {
         return mRuns;
     }
 
-    /** Returns requests cancelled. */
+    /** Returns the number of cancelled requests. */
     public int cancelled() {
         return mCancelled.get();
     }
 
-    /** Returns requests it has now, running and waiting. */
+    /** Returns the number of running and queued requests. */
     public int load() {
         return mLoad.get();
     }
 
-    /** Returns the most requests it had at once. */
-    public int peak() {
-        return mPeak;
+    /** Returns the maximum of {@link #load} so far. */
+    public int peakLoad() {
+        return mPeakLoad;
     }
 
-    /** Returns the text that a prompt is answered with. */
-    public static String answerTo(String prompt, int tokens) {
+    /** Returns the text generated for a prompt. */
+    public static String expectedAnswer(String prompt, int tokens) {
         StringBuilder sb = new StringBuilder();
         for (int i = 0; i < tokens; i++) {
             sb.append(token(prompt, i));
@@ -191,7 +191,7 @@
     // ---------------------------------------------------------------- serving
 
     private Promise<HttpResponse> serve(HttpRequest http) {
-        mFaults.onRequest();
+        mFaults.countRequest();
         String path = http.getPath();
         if (path.equals("/v1/chat/completions")) {
             String id = http.getHeader(HttpHeaders.of("X-Request-Id"));
@@ -201,10 +201,10 @@
             return response(http, path.substring(RESPONSES.length()));
         }
         if (path.equals("/kv/export")) {
-            return http.loadBody().then(b -> export(JSON.readTree(b.getArray())));
+            return http.loadBody().then(b -> exportBlocks(JSON.readTree(b.getArray())));
         }
         if (path.equals("/kv/import")) {
-            return http.loadBody().then(b -> take(JSON.readTree(b.getArray())));
+            return http.loadBody().then(b -> importBlocks(JSON.readTree(b.getArray())));
         }
         if (path.equals("/v1/orders") && http.getMethod() == HttpMethod.GET) {
             return state();
@@ -213,10 +213,10 @@
             return http.loadBody().then(b -> order(JSON.readTree(b.getArray())));
         }
         if (path.equals("/load")) {
-            return json(JSON.createObjectNode().put("server_load", mShownLoad));
+            return json(JSON.createObjectNode().put("server_load", mReportedLoad));
         }
         if (path.equals("/kv_events")) {
-            return events(http.getQueryParameter("after"));
+            return cacheEvents(http.getQueryParameter("after"));
         }
         return HttpResponse.notFound404().toPromise();
     }
@@ -234,9 +234,9 @@
         changeLoad(1);
         startNext();
         if (g.mStream) {
-            return g.follow(0);
+            return g.streamEvents(0);
         }
-        return g.whole();
+        return g.completeResponse();
     }
 
     private Promise<HttpResponse> response(HttpRequest http, String rest) {
@@ -249,38 +249,38 @@
             g.cancel();
             return HttpResponse.ok200().toPromise();
         }
-        return g.follow(Integer.parseInt(http.getQueryParameter("starting_after")));
+        return g.streamEvents(Integer.parseInt(http.getQueryParameter("starting_after")));
     }
 
-    /** Takes an order, which takes effect after a while, and tells what the engine runs. */
+    /** Accepts an order, to take effect after a delay, and returns the engine's current state. */
     private Promise<HttpResponse> order(JsonNode order) {
         long fence = order.path("fence").asLong();
-        if (mChecksFences && fence < mFence) {
+        if (mChecksFencingTokens && fence < mLastFencingToken) {
             return HttpResponse.ofCode(409).toPromise();
         }
-        mFence = Math.max(mFence, fence);
+        mLastFencingToken = Math.max(mLastFencingToken, fence);
         mOrders.add(order.toString());
-        mChanging = true;
+        mOrderPending = true;
         mServer.loop()
                 .delayBackground(
-                        mOrderMillis,
+                        mOrderDelayMillis,
                         () -> {
                             mState = order;
-                            mChanging = false;
+                            mOrderPending = false;
                         });
         return state();
     }
 
     private Promise<HttpResponse> state() {
-        ObjectNode n = JSON.createObjectNode().put("changing", mChanging);
+        ObjectNode n = JSON.createObjectNode().put("changing", mOrderPending);
         for (String part : List.of("model", "adapter", "version", "role")) {
             n.put(part, mState.path(part).asText());
         }
         return json(n);
     }
 
-    /** Gives out the blocks held of a prompt, for another engine to take in. */
-    private Promise<HttpResponse> export(JsonNode body) {
+    /** Exports the cached blocks of a prompt for import by another engine. */
+    private Promise<HttpResponse> exportBlocks(JsonNode body) {
         List<Long> blocks = PrefixCache.blocks(body.path("prompt").asText());
         ObjectNode out = JSON.createObjectNode();
         ArrayNode list = out.putArray("blocks");
@@ -288,15 +288,15 @@
         return json(out);
     }
 
-    private Promise<HttpResponse> take(JsonNode body) {
+    private Promise<HttpResponse> importBlocks(JsonNode body) {
         List<Long> blocks = new ArrayList<>();
         body.path("blocks").forEach(b -> blocks.add(b.asLong()));
         mCache.add(blocks);
         return json(JSON.createObjectNode().put("blocks", blocks.size()));
     }
 
-    /** Shows cache events late, and leaves every tenth out. */
-    private Promise<HttpResponse> events(String after) {
+    /** Returns the cache events, lagging by eight events and with every tenth one missing. */
+    private Promise<HttpResponse> cacheEvents(String after) {
         int from = after == null ? 0 : Integer.parseInt(after);
         ObjectNode out = JSON.createObjectNode();
         ArrayNode list = out.putArray("events");
@@ -313,13 +313,13 @@
         return HttpResponse.ok200().withJson(node.toString()).toPromise();
     }
 
-    private void showLoad() {
-        mShownLoad = mLoad.get();
-        mServer.loop().delayBackground(500, this::showLoad);
+    private void publishLoad() {
+        mReportedLoad = mLoad.get();
+        mServer.loop().delayBackground(500, this::publishLoad);
     }
 
     private void changeLoad(int by) {
-        mPeak = Math.max(mPeak, mLoad.addAndGet(by));
+        mPeakLoad = Math.max(mPeakLoad, mLoad.addAndGet(by));
     }
 
     private void startNext() {
@@ -329,20 +329,20 @@
         }
     }
 
-    /** Is one answer in the making, and afterwards the answer as it is kept for resuming. */
+    /** A running or completed generation; completed ones are retained for resuming streams. */
     private final class Generation {
         private final String mKey;
         private final String mPrompt;
-        private final int mTokens;
+        private final int mMaxTokens;
         private final boolean mStream;
-        private final boolean mUsage;
+        private final boolean mIncludeUsage;
         private final int mPriority;
         private final long mTokenMillis;
         private final long mArrival = mArrivals++;
         private final List<byte[]> mEvents = new ArrayList<>();
-        private final List<Runnable> mFollowers = new ArrayList<>();
-        private int mMade;
-        private int mCached;
+        private final List<Runnable> mEventListeners = new ArrayList<>();
+        private int mGeneratedTokens;
+        private int mCachedTokens;
         private boolean mDone;
         private boolean mStarted;
 
@@ -351,9 +351,9 @@
             StringBuilder sb = new StringBuilder();
             body.path("messages").forEach(m -> sb.append(m.path("content").asText()));
             mPrompt = sb.toString();
-            mTokens = body.path("max_tokens").asInt(DEFAULT_TOKENS);
+            mMaxTokens = body.path("max_tokens").asInt(DEFAULT_TOKENS);
             mStream = body.path("stream").asBoolean();
-            mUsage = body.path("stream_options").path("include_usage").asBoolean();
+            mIncludeUsage = body.path("stream_options").path("include_usage").asBoolean();
             mTokenMillis = body.path("speed").asLong(mSpeed.tokenMillis());
             mPriority = body.path("priority").asInt(5);
         }
@@ -362,16 +362,16 @@
             mStarted = true;
             List<Long> blocks = PrefixCache.blocks(mPrompt);
             int held = mCache.match(blocks);
-            mCached = held * PrefixCache.BLOCK_TOKENS;
+            mCachedTokens = held * PrefixCache.BLOCK_TOKENS;
             mCache.add(blocks);
-            int missing = mPrompt.length() / 4 - mCached;
-            later((long) (missing / mSpeed.prefillTokensPerMilli()), this::step);
+            int missing = mPrompt.length() / 4 - mCachedTokens;
+            schedule((long) (missing / mSpeed.prefillTokensPerMilli()), this::generateNextToken);
         }
 
-        private void later(long millis, Runnable task) {
+        private void schedule(long millis, Runnable task) {
             Eventloop loop = mServer.loop();
             if (mFrozen) {
-                loop.delayBackground(20, () -> later(millis, task));
+                loop.delayBackground(20, () -> schedule(millis, task));
             } else if (millis <= 0) {
                 loop.post(task);
             } else {
@@ -379,25 +379,25 @@
             }
         }
 
-        private void step() {
+        private void generateNextToken() {
             if (mDone) {
                 return;
             }
-            if (mMade < mTokens) {
-                emit(chunk(token(mPrompt, mMade++)));
-                later(mTokenMillis, this::step);
+            if (mGeneratedTokens < mMaxTokens) {
+                emit(chunk(token(mPrompt, mGeneratedTokens++)));
+                schedule(mTokenMillis, this::generateNextToken);
                 return;
             }
-            if (mUsage) {
+            if (mIncludeUsage) {
                 emit(usageChunk());
             }
             emit("[DONE]");
-            // What was generated stays in memory too, so the next turn finds it.
-            mCache.add(PrefixCache.blocks(mPrompt + answerTo(mPrompt, mTokens)));
-            end();
+            // Caches the generated text too, which is part of the next turn's prompt.
+            mCache.add(PrefixCache.blocks(mPrompt + expectedAnswer(mPrompt, mMaxTokens)));
+            finish();
         }
 
-        private void end() {
+        private void finish() {
             if (mDone) {
                 return;
             }
@@ -408,7 +408,7 @@
                 mWaiting.remove(this);
             }
             changeLoad(-1);
-            wake();
+            notifyListeners();
             startNext();
             mServer.loop().delayBackground(30_000, () -> mGenerations.remove(mKey, this));
         }
@@ -416,18 +416,18 @@
         void cancel() {
             if (!mDone) {
                 mCancelled.incrementAndGet();
-                end();
+                finish();
             }
         }
 
         private void emit(String data) {
             mEvents.add(("data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8));
-            wake();
+            notifyListeners();
         }
 
-        private void wake() {
-            List<Runnable> f = List.copyOf(mFollowers);
-            mFollowers.clear();
+        private void notifyListeners() {
+            List<Runnable> f = List.copyOf(mEventListeners);
+            mEventListeners.clear();
             f.forEach(Runnable::run);
         }
 
@@ -444,8 +444,8 @@
 
         private ObjectNode usage() {
             ObjectNode u = JSON.createObjectNode();
-            u.put("prompt_tokens", mPrompt.length() / 4).put("completion_tokens", mMade);
-            u.putObject("prompt_tokens_details").put("cached_tokens", mCached);
+            u.put("prompt_tokens", mPrompt.length() / 4).put("completion_tokens", mGeneratedTokens);
+            u.putObject("prompt_tokens_details").put("cached_tokens", mCachedTokens);
             return u;
         }
 
@@ -456,17 +456,17 @@
             return n.toString();
         }
 
-        Promise<HttpResponse> follow(int from) {
+        Promise<HttpResponse> streamEvents(int from) {
             int[] next = {from};
             return HttpResponse.ok200()
                     .withHeader(HttpHeaders.CONTENT_TYPE, "text/event-stream")
-                    .withBodyStream(ChannelSuppliers.ofAsyncSupplier(() -> event(next)))
+                    .withBodyStream(ChannelSuppliers.ofAsyncSupplier(() -> nextEvent(next)))
                     .toPromise();
         }
 
-        private Promise<ByteBuf> event(int[] next) {
-            if (mBreakAfter >= 0 && next[0] >= mBreakAfter) {
-                return Promise.ofException(new IOException("broken off by the test"));
+        private Promise<ByteBuf> nextEvent(int[] next) {
+            if (mAbortAfterEvents >= 0 && next[0] >= mAbortAfterEvents) {
+                return Promise.ofException(new IOException("stream aborted by fault injection"));
             }
             if (next[0] < mEvents.size()) {
                 return Promise.of(ByteBuf.wrapForReading(mEvents.get(next[0]++)));
@@ -475,19 +475,19 @@
                 return Promise.of(null);
             }
             SettablePromise<ByteBuf> later = new SettablePromise<>();
-            mFollowers.add(() -> event(next).subscribe(later::trySet));
+            mEventListeners.add(() -> nextEvent(next).subscribe(later::trySet));
             return later;
         }
 
-        Promise<HttpResponse> whole() {
+        Promise<HttpResponse> completeResponse() {
             SettablePromise<HttpResponse> answer = new SettablePromise<>();
-            waitForEnd(answer);
+            respondWhenDone(answer);
             return answer;
         }
 
-        private void waitForEnd(SettablePromise<HttpResponse> answer) {
+        private void respondWhenDone(SettablePromise<HttpResponse> answer) {
             if (!mDone) {
-                mFollowers.add(() -> waitForEnd(answer));
+                mEventListeners.add(() -> respondWhenDone(answer));
                 return;
             }
             ObjectNode n = JSON.createObjectNode().put("id", mKey);
@@ -496,7 +496,7 @@
             choice.put("finish_reason", "stop");
             choice.putObject("message")
                     .put("role", "assistant")
-                    .put("content", answerTo(mPrompt, mMade));
+                    .put("content", expectedAnswer(mPrompt, mGeneratedTokens));
             n.set("usage", usage());
             answer.set(HttpResponse.ok200().withJson(n.toString()).build());
         }
--- a/forkseam-standin/src/main/java/org/forkseam/standin/Faults.java
+++ b/forkseam-standin/src/main/java/org/forkseam/standin/FaultInjection.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Holds the faults of one stand-in; thread-safe, switched by call and never by chance. */
-public final class Faults {
-    private final AtomicInteger mLostAnswers = new AtomicInteger();
+/** Deterministic fault injection of one test double. Thread-safe. */
+public final class FaultInjection {
+    private final AtomicInteger mLostResponses = new AtomicInteger();
     private final AtomicInteger mRequests = new AtomicInteger();
     private final AtomicLong mDelayMillis = new AtomicLong();
     private volatile boolean mDown;
 
-    /** Makes every request fail without effect, or work again. */
+    /** Sets whether every request fails without effect. */
     public void setDown(boolean down) {
         mDown = down;
     }
@@ -20,32 +20,31 @@
         return mDown;
     }
 
-    /** Delays every answer. */
+    /** Delays every response. */
     public void setDelayMillis(long millis) {
         mDelayMillis.set(millis);
     }
 
-    /** Returns the delay of answers. */
+    /** Returns the delay of responses. */
     public long delayMillis() {
         return mDelayMillis.get();
     }
 
-    /** Makes the next so many writes take effect and their answers get lost. */
-    public void loseAnswers(int count) {
-        mLostAnswers.set(count);
+    /** Drops the responses of the next {@code count} writes, which still take effect. */
+    public void loseResponses(int count) {
+        mLostResponses.set(count);
     }
 
-    /** Returns whether the answer at hand is to be lost. */
-    boolean takeLostAnswer() {
-        return mLostAnswers.getAndUpdate(n -> n > 0 ? n - 1 : 0) > 0;
+    /** Returns whether to drop the current response, using up one drop. */
+    boolean consumeLostResponse() {
+        return mLostResponses.getAndUpdate(n -> n > 0 ? n - 1 : 0) > 0;
     }
 
-    /** Counts a request. */
-    void onRequest() {
+    void countRequest() {
         mRequests.incrementAndGet();
     }
 
-    /** Returns requests counted. */
+    /** Returns the number of requests received. */
     public int requests() {
         return mRequests.get();
     }
--- a/forkseam-standin/src/main/java/org/forkseam/standin/PlatformStandin.java
+++ b/forkseam-standin/src/main/java/org/forkseam/standin/PlatformStandin.java
@@ -25,42 +25,42 @@
 import java.util.function.LongSupplier;
 
 /**
- * Stands in for the platform: table service, object store, host list and weight store, each with
- * its own faults. Thread-safe from outside.
+ * Test double of the platform's table service, object store, host list and weight store, with fault
+ * injection for the first three. Public methods are thread-safe.
  */
 public final class PlatformStandin {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String OBJECTS = "/objects/";
     private static final String WEIGHTS = "/weights/";
-    private static final int TOO_MANY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final int NOT_MODIFIED = 304;
 
     private final StandinServer mServer = StandinServer.of("platform");
     private final TableStandin mTable = new TableStandin();
     private final Map<String, byte[]> mObjects = new HashMap<>();
     private final Map<String, HostEntry> mHosts = new TreeMap<>();
-    private final Faults mTableFaults = new Faults();
-    private final Faults mObjectFaults = new Faults();
-    private final Faults mHostFaults = new Faults();
-    private volatile long mHostLagMillis;
+    private final FaultInjection mTableFaults = new FaultInjection();
+    private final FaultInjection mObjectFaults = new FaultInjection();
+    private final FaultInjection mHostFaults = new FaultInjection();
+    private volatile long mHostListDelayMillis;
     private final AtomicInteger mWeightPermits = new AtomicInteger(Integer.MAX_VALUE);
-    private String mHostsShown = "[]";
+    private String mPublishedHosts = "[]";
 
     private PlatformStandin() {}
 
-    /** Starts a platform on a free port of the loopback. */
+    /** Starts a platform on a free loopback port. */
     public static PlatformStandin start() throws InterruptedException, ExecutionException {
         PlatformStandin p = new PlatformStandin();
-        p.mServer.start(StandinServer.anyPort(), p::serve);
+        p.mServer.start(StandinServer.freeLoopbackPort(), p::serve);
         return p;
     }
 
-    /** Ends it. */
+    /** Stops the server. */
     public void stop() throws InterruptedException {
         mServer.stop();
     }
 
-    // ---------------------------------------------------------------- for tests
+    // ---------------------------------------------------------------- test controls
 
     /** Returns the table service's URL. */
     public String tableUrl() {
@@ -82,73 +82,73 @@
         return mServer.url() + "/weights";
     }
 
-    /** Returns the faults of the table service. */
-    public Faults table() {
+    /** Returns the fault injection of the table service. */
+    public FaultInjection tableFaults() {
         return mTableFaults;
     }
 
-    /** Returns the faults of the object store. */
-    public Faults objects() {
+    /** Returns the fault injection of the object store. */
+    public FaultInjection objectStoreFaults() {
         return mObjectFaults;
     }
 
-    /** Returns the faults of the host list. */
-    public Faults hosts() {
+    /** Returns the fault injection of the host list. */
+    public FaultInjection hostListFaults() {
         return mHostFaults;
     }
 
-    /** Makes changes of the host list show only after a while. */
-    public void setHostLagMillis(long millis) {
-        mHostLagMillis = millis;
+    /** Sets the delay until changes of the host list become visible. */
+    public void setHostListDelayMillis(long millis) {
+        mHostListDelayMillis = millis;
     }
 
-    /** Sets how many downloads of weights may still start. */
+    /** Sets the number of weight downloads that are still granted. */
     public void setWeightPermits(int count) {
         mWeightPermits.set(count);
     }
 
-    /** Puts a host in the list, or changes it; requests that come after this returns see it. */
+    /** Adds or replaces a host; visible to requests sent after this method returns. */
     public void putHost(HostEntry host) {
-        change(() -> mHosts.put(host.host(), host));
+        changeHosts(() -> mHosts.put(host.host(), host));
     }
 
-    /** Takes a host off the list; requests that come after this returns see it. */
+    /** Removes a host; visible to requests sent after this method returns. */
     public void removeHost(String host) {
-        change(() -> mHosts.remove(host));
+        changeHosts(() -> mHosts.remove(host));
     }
 
-    /** Waits until a change is done: a turn of the loop serves requests before it runs tasks. */
-    private void change(Runnable what) {
+    /** Applies a change and waits for it, because the loop serves requests before tasks. */
+    private void changeHosts(Runnable change) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         mServer.loop()
                 .execute(
                         () -> {
-                            what.run();
-                            showHosts();
+                            change.run();
+                            publishHosts();
                             done.complete(null);
                         });
         done.join();
     }
 
-    /** Returns reads the table service has served. */
+    /** Returns the number of reads served by the table service. */
     public long tableReads() {
-        return ask(mTable::reads);
+        return readOnLoop(mTable::reads);
     }
 
-    /** Returns transactions the table service has served. */
+    /** Returns the number of transactions served by the table service. */
     public long tableWrites() {
-        return ask(mTable::writes);
+        return readOnLoop(mTable::writes);
     }
 
-    private long ask(LongSupplier what) {
-        CompletableFuture<Long> answer = new CompletableFuture<>();
-        mServer.loop().execute(() -> answer.complete(what.getAsLong()));
-        return answer.join();
+    private long readOnLoop(LongSupplier value) {
+        CompletableFuture<Long> result = new CompletableFuture<>();
+        mServer.loop().execute(() -> result.complete(value.getAsLong()));
+        return result.join();
     }
 
     // ---------------------------------------------------------------- serving
 
-    private void showHosts() {
+    private void publishHosts() {
         ArrayNode list = JSON.createArrayNode();
         for (HostEntry h : mHosts.values()) {
             ObjectNode group = list.addObject();
@@ -159,45 +159,47 @@
             labels.put("state", h.leaving() ? "leaving" : "live");
         }
         String text = list.toString();
-        if (mHostLagMillis == 0) {
-            mHostsShown = text;
+        if (mHostListDelayMillis == 0) {
+            mPublishedHosts = text;
         } else {
-            mServer.loop().delayBackground(mHostLagMillis, () -> mHostsShown = text);
+            mServer.loop().delayBackground(mHostListDelayMillis, () -> mPublishedHosts = text);
         }
     }
 
     private Promise<HttpResponse> serve(HttpRequest http) {
         String path = http.getPath();
         if (path.startsWith("/v3/")) {
-            return faulty(mTableFaults, http, body -> table(path, body));
+            return handleWithFaults(mTableFaults, http, body -> table(path, body));
         }
         if (path.startsWith(OBJECTS)) {
-            return faulty(mObjectFaults, http, body -> object(http.getMethod(), path, body));
+            return handleWithFaults(
+                    mObjectFaults, http, body -> object(http.getMethod(), path, body));
         }
         if (path.startsWith(WEIGHTS)) {
             return weights().toPromise();
         }
-        return faulty(mHostFaults, http, body -> hosts(http));
+        return handleWithFaults(mHostFaults, http, body -> hosts(http));
     }
 
     private HttpResponse hosts(HttpRequest http) {
-        String etag = '"' + Integer.toHexString(mHostsShown.hashCode()) + '"';
+        String etag = '"' + Integer.toHexString(mPublishedHosts.hashCode()) + '"';
         if (etag.equals(http.getHeader(HttpHeaders.IF_NONE_MATCH))) {
             return HttpResponse.ofCode(NOT_MODIFIED).build();
         }
         return HttpResponse.ok200()
                 .withHeader(HttpHeaders.ETAG, etag)
-                .withJson(mHostsShown)
+                .withJson(mPublishedHosts)
                 .build();
     }
 
-    /** Answers one request whose faults have been seen to. */
+    /** Handles a request after fault injection. */
     private interface Handler {
         HttpResponse handle(byte[] body) throws IOException;
     }
 
-    private Promise<HttpResponse> faulty(Faults faults, HttpRequest http, Handler handler) {
-        faults.onRequest();
+    private Promise<HttpResponse> handleWithFaults(
+            FaultInjection faults, HttpRequest http, Handler handler) {
+        faults.countRequest();
         if (faults.isDown()) {
             return HttpResponse.ofCode(503).toPromise();
         }
@@ -206,14 +208,14 @@
                         body -> {
                             HttpResponse r = handler.handle(body.getArray());
                             boolean write = http.getPath().endsWith("/txn");
-                            if (write && faults.takeLostAnswer()) {
+                            if (write && faults.consumeLostResponse()) {
                                 return new SettablePromise<HttpResponse>();
                             }
-                            return late(r, faults.delayMillis());
+                            return delayed(r, faults.delayMillis());
                         });
     }
 
-    private static Promise<HttpResponse> late(HttpResponse r, long millis) {
+    private static Promise<HttpResponse> delayed(HttpResponse r, long millis) {
         return millis == 0 ? Promise.of(r) : Promises.delay(Duration.ofMillis(millis), r);
     }
 
@@ -235,7 +237,9 @@
 
     private HttpResponse weights() {
         if (mWeightPermits.getAndUpdate(n -> Math.max(0, n - 1)) <= 0) {
-            return HttpResponse.ofCode(TOO_MANY).withHeader(HttpHeaders.RETRY_AFTER, "1").build();
+            return HttpResponse.ofCode(TOO_MANY_REQUESTS)
+                    .withHeader(HttpHeaders.RETRY_AFTER, "1")
+                    .build();
         }
         return HttpResponse.ok200().build();
     }
--- a/forkseam-standin/src/main/java/org/forkseam/standin/PrefixCache.java
+++ b/forkseam-standin/src/main/java/org/forkseam/standin/PrefixCache.java
@@ -5,11 +5,8 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Keeps the blocks of prompts that an engine has in memory, the ones used longest ago going first.
- */
+/** LRU cache of the prompt blocks held by an engine. Not thread-safe. */
 final class PrefixCache {
-    /** Tokens to a block. */
     static final int BLOCK_TOKENS = 16;
 
     private static final int BYTES_PER_TOKEN = 4;
@@ -24,16 +21,18 @@
 
                     @Override
                     protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-                        boolean out = size() > maxBlocks;
-                        if (out) {
+                        boolean evict = size() > maxBlocks;
+                        if (evict) {
                             mEvents.add("removed " + eldest.getKey());
                         }
-                        return out;
+                        return evict;
                     }
                 };
     }
 
-    /** Cuts a prompt into blocks; each block's hash covers everything before it. */
+    /**
+     * Returns the hashes of a prompt's blocks; each hash covers the whole prefix up to its block.
+     */
     static List<Long> blocks(String prompt) {
         int block = BLOCK_TOKENS * BYTES_PER_TOKEN;
         List<Long> out = new ArrayList<>(prompt.length() / block);
@@ -47,7 +46,7 @@
         return out;
     }
 
-    /** Returns how many blocks from the start are held, and marks them as used. */
+    /** Returns the number of leading blocks that are cached, and marks them as used. */
     int match(List<Long> blocks) {
         int n = 0;
         while (n < blocks.size() && mBlocks.get(blocks.get(n)) != null) {
@@ -57,7 +56,7 @@
     }
 
     void add(List<Long> blocks) {
-        // The last first, so that of one prompt the beginning stays longest.
+        // In reverse order, so that a prompt's leading blocks are evicted last.
         for (int i = blocks.size() - 1; i >= 0; i--) {
             if (mBlocks.put(blocks.get(i), true) == null) {
                 mEvents.add("stored " + blocks.get(i));
--- a/forkseam-standin/src/main/java/org/forkseam/standin/ServiceStandin.java
+++ b/forkseam-standin/src/main/java/org/forkseam/standin/ServiceStandin.java
@@ -14,23 +14,23 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stands in for a plain service: answers any method and path with what it was asked, and counts how
- * often each request id ran. Thread-safe from outside.
+ * Test double of a plain service that echoes any request and counts the executions of each request
+ * id. Public methods are thread-safe.
  */
 public final class ServiceStandin {
     private final StandinServer mServer;
-    private final Faults mFaults = new Faults();
+    private final FaultInjection mFaults = new FaultInjection();
     private final Map<String, AtomicInteger> mRuns = new ConcurrentHashMap<>();
 
     private ServiceStandin(String name) {
         mServer = StandinServer.of(name);
     }
 
-    /** Starts a service on a free port of the loopback. */
+    /** Starts a service on a free loopback port. */
     public static ServiceStandin start(String name)
             throws InterruptedException, ExecutionException {
         ServiceStandin s = new ServiceStandin(name);
-        s.mServer.start(StandinServer.anyPort(), s::serve);
+        s.mServer.start(StandinServer.freeLoopbackPort(), s::serve);
         return s;
     }
 
@@ -39,34 +39,34 @@
         return mServer.url();
     }
 
-    /** Returns the faults. */
-    public Faults faults() {
+    /** Returns the fault injection. */
+    public FaultInjection faults() {
         return mFaults;
     }
 
-    /** Returns how often the requests of one id were run. */
+    /** Returns the number of executions of a request id. */
     public int runs(String requestId) {
         AtomicInteger n = mRuns.get(requestId);
         return n == null ? 0 : n.get();
     }
 
-    /** Returns how often each request id was run. */
+    /** Returns the number of executions by request id. */
     public Map<String, AtomicInteger> allRuns() {
         return mRuns;
     }
 
-    /** Crashes the service. */
+    /** Simulates a crash: closes every connection and stops listening. */
     public void kill() throws InterruptedException, ExecutionException {
         mServer.kill();
     }
 
-    /** Ends the service's thread. */
+    /** Stops the server and its thread. */
     public void stop() throws InterruptedException {
         mServer.stop();
     }
 
     private Promise<HttpResponse> serve(HttpRequest http) {
-        mFaults.onRequest();
+        mFaults.countRequest();
         String id = http.getHeader(HttpHeaders.of("X-Request-Id"));
         String request =
                 id == null || !id.contains(":") ? "none" : id.substring(0, id.indexOf(':'));
--- a/forkseam-standin/src/main/java/org/forkseam/standin/StandinServer.java
+++ b/forkseam-standin/src/main/java/org/forkseam/standin/StandinServer.java
@@ -11,7 +11,7 @@
 import java.nio.channels.SelectionKey;
 import java.util.concurrent.ExecutionException;
 
-/** Runs one HTTP server on an event loop of its own; port 0 takes a free one. */
+/** HTTP server with its own event loop thread. Public methods are thread-safe once started. */
 public final class StandinServer {
     private static final int MAX_BODY_BYTES = 32 << 20;
 
@@ -26,22 +26,22 @@
         mThread.setDaemon(true);
     }
 
-    /** Creates a server that has yet to be started. */
+    /** Creates a server without starting it. */
     public static StandinServer of(String name) {
         return new StandinServer(name);
     }
 
-    /** Returns an address of the loopback with a free port. */
-    static InetSocketAddress anyPort() {
+    /** Returns the loopback address with port 0, to bind to a free port. */
+    static InetSocketAddress freeLoopbackPort() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    /** Returns the event loop that the servlet runs on. */
+    /** Returns the event loop of the servlet. */
     public Eventloop loop() {
         return mLoop;
     }
 
-    /** Starts serving. */
+    /** Starts the server. */
     public StandinServer start(InetSocketAddress listen, AsyncServlet servlet)
             throws InterruptedException, ExecutionException {
         mLoop.keepAlive(true);
@@ -65,7 +65,7 @@
                 .get();
     }
 
-    /** Returns where the server listens. */
+    /** Returns the address listened on. */
     public InetSocketAddress address() {
         return mAddress;
     }
@@ -75,12 +75,12 @@
         return "http://" + mAddress.getAddress().getHostAddress() + ":" + mAddress.getPort();
     }
 
-    /** Closes every connection at once and stops listening, as a crash would. */
+    /** Simulates a crash: closes every connection and stops listening. */
     public void kill() throws InterruptedException, ExecutionException {
-        mLoop.submit(this::closeAll).get();
+        mLoop.submit(this::closeAllChannels).get();
     }
 
-    private void closeAll() {
+    private void closeAllChannels() {
         for (SelectionKey key : mLoop.getSelector().keys()) {
             try {
                 key.channel().close();
@@ -90,11 +90,11 @@
         }
     }
 
-    /** Ends the event loop. */
+    /** Stops the server and its thread. */
     public void stop() throws InterruptedException {
         mLoop.execute(
                 () -> {
-                    closeAll();
+                    closeAllChannels();
                     mLoop.keepAlive(false);
                     mLoop.breakEventloop();
                 });
--- a/forkseam-standin/src/main/java/org/forkseam/standin/TableStandin.java
+++ b/forkseam-standin/src/main/java/org/forkseam/standin/TableStandin.java
@@ -13,19 +13,19 @@
 import java.util.TreeMap;
 
 /**
- * Stands in for the table service: rows with revisions and conditional transactions, by the JSON
- * form of the etcd v3 key-value protocol. Used on one event loop.
+ * Test double of the table service: rows with revisions and conditional transactions, by the JSON
+ * gateway of the etcd v3 key-value API. Confined to one event loop.
  */
 final class TableStandin {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final NavigableMap<String, Stored> mRows = new TreeMap<>();
+    private final NavigableMap<String, StoredRow> mRows = new TreeMap<>();
     private long mRevision = 1;
     private long mReads;
     private long mWrites;
 
-    /** Holds one row: its value as sent, and the revision of its last write. */
-    private record Stored(String value, long revision) {}
+    /** A row: the encoded value and the revision of the last write. */
+    private record StoredRow(String value, long revision) {}
 
     long reads() {
         return mReads;
@@ -47,7 +47,7 @@
     private ObjectNode range(JsonNode in) {
         mReads++;
         String from = decode(in.path("key").asText());
-        NavigableMap<String, Stored> found;
+        NavigableMap<String, StoredRow> found;
         if (in.has("range_end")) {
             found = mRows.subMap(from, true, decode(in.path("range_end").asText()), false);
         } else {
@@ -57,7 +57,7 @@
         ObjectNode out = JSON.createObjectNode();
         out.putObject("header").put("revision", Long.toString(mRevision));
         ArrayNode kvs = out.putArray("kvs");
-        for (Map.Entry<String, Stored> e : found.entrySet()) {
+        for (Map.Entry<String, StoredRow> e : found.entrySet()) {
             if (limit-- <= 0) {
                 break;
             }
@@ -73,7 +73,7 @@
         mWrites++;
         boolean holds = true;
         for (JsonNode c : in.path("compare")) {
-            Stored s = mRows.get(decode(c.path("key").asText()));
+            StoredRow s = mRows.get(decode(c.path("key").asText()));
             holds &= (s == null ? 0 : s.revision()) == c.path("mod_revision").asLong();
         }
         ObjectNode out = JSON.createObjectNode().put("succeeded", holds);
@@ -93,7 +93,7 @@
     private void write(JsonNode op) {
         JsonNode put = op.path("request_put");
         if (put.isObject()) {
-            Stored s = new Stored(put.path("value").asText(), mRevision);
+            StoredRow s = new StoredRow(put.path("value").asText(), mRevision);
             mRows.put(decode(put.path("key").asText()), s);
         } else {
             mRows.remove(decode(op.path("request_delete_range").path("key").asText()));
--- a/forkseam-standin/src/main/java/org/forkseam/standin/package-info.java
+++ b/forkseam-standin/src/main/java/org/forkseam/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Small stand-ins of engines, services and the platform, with faults switched by call. */
+/** Test doubles of engines, services and the platform, with fault injection. */
 package org.forkseam.standin;
--- a/forkseam-standin/src/test/java/org/forkseam/standin/PlatformContractTest.java
+++ b/forkseam-standin/src/test/java/org/forkseam/standin/PlatformContractTest.java
@@ -29,9 +29,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.function.Supplier;
 
-/**
- * Contracts of the platform's interfaces, against the stand-ins over the wire, with their faults.
- */
+/** Guards the contracts of the platform clients over HTTP, including faults of the services. */
 class PlatformContractTest {
     private PlatformStandin mPlatform;
     private Eventloop mLoop;
@@ -39,12 +37,12 @@
     private PlatformHttpClient mHttp;
     private HttpTableService mTable;
 
-    /** What may be wrong with the platform. */
+    /** Faults of a service. */
     private enum Fault {
         DOWN,
         TOO_SLOW;
 
-        void strike(Faults f) {
+        void inject(FaultInjection f) {
             f.setDown(this == DOWN);
             f.setDelayMillis(this == TOO_SLOW ? 5_000 : 0);
         }
@@ -73,7 +71,7 @@
         mPlatform.stop();
     }
 
-    private <T> T on(Supplier<CompletableFuture<T>> call)
+    private <T> T runOnLoop(Supplier<CompletableFuture<T>> call)
             throws InterruptedException, ExecutionException {
         CompletableFuture<T> done = new CompletableFuture<>();
         mLoop.execute(
@@ -91,22 +89,22 @@
     }
 
     private TxnResult write(Write... writes) throws Exception {
-        return on(() -> mTable.transact(List.of(writes)));
+        return runOnLoop(() -> mTable.transact(List.of(writes)));
     }
 
     @Test
-    void insertSucceedsOnceAndShowsTheOther() throws Exception {
+    void secondInsertConflictsAndReturnsTheExistingRow() throws Exception {
         assertThat(write(Write.insert("a", "1"))).isInstanceOf(TxnResult.Applied.class);
         TxnResult second = write(Write.insert("a", "2"));
         assertThat(((TxnResult.Conflict) second).rows().get(0).value()).isEqualTo("1");
-        assertThat(on(() -> mTable.get("a")).orElseThrow().value()).isEqualTo("1");
-        assertThat(on(() -> mTable.get("b"))).isEmpty();
+        assertThat(runOnLoop(() -> mTable.get("a")).orElseThrow().value()).isEqualTo("1");
+        assertThat(runOnLoop(() -> mTable.get("b"))).isEmpty();
     }
 
     @Test
     void replaceNeedsTheRevision() throws Exception {
         write(Write.insert("a", "1"));
-        Row row = on(() -> mTable.get("a")).orElseThrow();
+        Row row = runOnLoop(() -> mTable.get("a")).orElseThrow();
         assertThat(write(Write.replace("a", "2", row.revision())))
                 .isInstanceOf(TxnResult.Applied.class);
         assertThat(write(Write.replace("a", "3", row.revision())))
@@ -118,7 +116,7 @@
         write(Write.insert("a", "1"));
         assertThat(write(Write.insert("b", "1"), Write.insert("a", "2")))
                 .isInstanceOf(TxnResult.Conflict.class);
-        assertThat(on(() -> mTable.get("b"))).isEmpty();
+        assertThat(runOnLoop(() -> mTable.get("b"))).isEmpty();
     }
 
     @Test
@@ -127,27 +125,27 @@
             write(Write.put("p/" + i, "v" + i));
         }
         write(Write.put("q", "other"), Write.delete("p/3"));
-        List<Row> first = on(() -> mTable.scan("p/", "", 4));
+        List<Row> first = runOnLoop(() -> mTable.scan("p/", "", 4));
         assertThat(first.stream().map(Row::key).toList())
                 .containsExactly("p/0", "p/1", "p/2", "p/4")
                 .inOrder();
-        List<Row> rest = on(() -> mTable.scan("p/", "p/4", 100));
+        List<Row> rest = runOnLoop(() -> mTable.scan("p/", "p/4", 100));
         assertThat(rest.stream().map(Row::key).toList())
                 .containsExactly("p/5", "p/6", "p/7", "p/8", "p/9")
                 .inOrder();
     }
 
     @Test
-    void lostAnswerIsUnknownThoughTheWriteTookEffect() throws Exception {
-        mPlatform.table().loseAnswers(1);
+    void lostResponseIsUnknownThoughTheWriteTookEffect() throws Exception {
+        mPlatform.tableFaults().loseResponses(1);
         assertThat(write(Write.insert("a", "1"))).isInstanceOf(TxnResult.Unknown.class);
-        assertThat(on(() -> mTable.get("a"))).isPresent();
+        assertThat(runOnLoop(() -> mTable.get("a"))).isPresent();
     }
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void faultOfTheTableIsUnknownForWritesAndAFailureForReads(Fault fault) throws Exception {
-        fault.strike(mPlatform.table());
+    void tableFaultMakesWritesUnknownAndReadsFail(Fault fault) throws Exception {
+        fault.inject(mPlatform.tableFaults());
         assertThat(write(Write.insert("a", "1"))).isInstanceOf(TxnResult.Unknown.class);
         assertFails(() -> mTable.get("a"));
         assertFails(() -> mTable.scan("a", "", 1));
@@ -160,77 +158,75 @@
     }
 
     @Test
-    void objectsAreKeptWhole() throws Exception {
+    void objectsRoundTrip() throws Exception {
         HttpObjectStore s = HttpObjectStore.of(mHttp, mPlatform.bucketUrl());
         byte[] data = "snapshot".getBytes(StandardCharsets.UTF_8);
-        assertThat(on(() -> s.get("k/1"))).isEmpty();
-        on(() -> s.put("k/1", data));
-        assertThat(on(() -> s.get("k/1")).orElseThrow()).isEqualTo(data);
-        on(() -> s.delete("k/1"));
-        on(() -> s.delete("k/1"));
-        assertThat(on(() -> s.get("k/1"))).isEmpty();
+        assertThat(runOnLoop(() -> s.get("k/1"))).isEmpty();
+        runOnLoop(() -> s.put("k/1", data));
+        assertThat(runOnLoop(() -> s.get("k/1")).orElseThrow()).isEqualTo(data);
+        runOnLoop(() -> s.delete("k/1"));
+        runOnLoop(() -> s.delete("k/1"));
+        assertThat(runOnLoop(() -> s.get("k/1"))).isEmpty();
     }
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void faultOfTheObjectStoreIsAFailure(Fault fault) throws Exception {
+    void objectStoreFaultFailsTheFuture(Fault fault) throws Exception {
         HttpObjectStore s = HttpObjectStore.of(mHttp, mPlatform.bucketUrl());
-        fault.strike(mPlatform.objects());
+        fault.inject(mPlatform.objectStoreFaults());
         assertFails(() -> s.get("k"));
         assertFails(() -> s.put("k", new byte[1]));
     }
 
     @Test
-    void hostListShowsWhoLeaves() throws Exception {
+    void hostListMarksLeavingHosts() throws Exception {
         HttpHostList l = HttpHostList.of(mHttp, mPlatform.hostsUrl());
         Labels labels = Labels.of(Map.of("role", "router", "failure-domain", "a"));
         mPlatform.putHost(new HostEntry("h1", "127.0.0.1:1", false, labels));
         mPlatform.putHost(new HostEntry("h2", "127.0.0.1:2", true, labels));
-        assertThat(on(l::read))
+        assertThat(runOnLoop(l::read))
                 .containsExactly(
                         new HostEntry("h1", "127.0.0.1:1", false, labels),
                         new HostEntry("h2", "127.0.0.1:2", true, labels));
     }
 
-    /**
-     * When changes were only posted to the stand-in's loop, 1,861 of 4,000 reads did not see them.
-     */
+    /** Guards against changes that are only posted to the loop and missed by the next read. */
     @Test
-    void aChangeOfTheHostListShowsInTheNextRead() throws Exception {
+    void hostListChangeIsVisibleInTheNextRead() throws Exception {
         HttpHostList l = HttpHostList.of(mHttp, mPlatform.hostsUrl());
         for (int i = 0; i < 300; i++) {
             mPlatform.putHost(new HostEntry("h1", "127.0.0.1:1", false, Labels.empty()));
-            assertThat(on(l::read)).hasSize(1);
+            assertThat(runOnLoop(l::read)).hasSize(1);
             mPlatform.removeHost("h1");
-            assertThat(on(l::read)).isEmpty();
+            assertThat(runOnLoop(l::read)).isEmpty();
         }
     }
 
     @Test
-    void unchangedHostListIsKnownWithoutBeingSentAgain() throws Exception {
+    void unchangedHostListIsNotTransferredAgain() throws Exception {
         HttpHostList l = HttpHostList.of(mHttp, mPlatform.hostsUrl());
         mPlatform.putHost(new HostEntry("h1", "127.0.0.1:1", false, Labels.empty()));
-        List<HostEntry> first = on(l::read);
-        assertThat(on(l::read)).isSameInstanceAs(first);
+        List<HostEntry> first = runOnLoop(l::read);
+        assertThat(runOnLoop(l::read)).isSameInstanceAs(first);
         mPlatform.removeHost("h1");
-        assertThat(on(l::read)).isEmpty();
+        assertThat(runOnLoop(l::read)).isEmpty();
     }
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void faultOfTheHostListIsAFailure(Fault fault) throws Exception {
+    void hostListFaultFailsTheFuture(Fault fault) throws Exception {
         HttpHostList l = HttpHostList.of(mHttp, mPlatform.hostsUrl());
-        fault.strike(mPlatform.hosts());
+        fault.inject(mPlatform.hostListFaults());
         assertFails(l::read);
     }
 
     @Test
-    void weightStoreGrantsUpToItsRate() throws Exception {
+    void weightStoreGrantsUpToItsRateLimit() throws Exception {
         HttpWeightStore w = HttpWeightStore.of(mHttp, mPlatform.weightsUrl());
         mPlatform.setWeightPermits(1);
-        assertThat(on(() -> w.requestPermit("lm-2")))
+        assertThat(runOnLoop(() -> w.requestPermit("lm-2")))
                 .isInstanceOf(WeightStore.Permit.Granted.class);
-        WeightStore.Permit p = on(() -> w.requestPermit("lm-2"));
+        WeightStore.Permit p = runOnLoop(() -> w.requestPermit("lm-2"));
         assertThat(((WeightStore.Permit.RateLimited) p).retryAfterMillis()).isEqualTo(1000);
     }
 }
