--- a/forkseam-core/src/main/java/org/forkseam/core/route/BaselinePlacements.java
+++ b/forkseam-core/src/main/java/org/forkseam/core/route/BaselinePlacements.java
@@ -63,7 +63,7 @@
         boolean isPresent = out.stream().anyMatch(c -> c.target() == t);
         if (isPresent
                 || t.isLeaving(now)
-                || (t.health().share(now) == 0 && !pool.isInPanicMode(now))) {
+                || (t.health().trafficShare(now) == 0 && !pool.isInPanicMode(now))) {
             return;
         }
         out.add(
--- a/forkseam-core/src/test/java/org/forkseam/core/share/LeavingGossipTest.java
+++ b/forkseam-core/src/test/java/org/forkseam/core/share/LeavingGossipTest.java
@@ -42,13 +42,13 @@
         }
 
         void onAnswer() {
-            if (mTarget.onSaysLeaving()) {
+            if (mTarget.onLeavingAnnounced()) {
                 mLeaving.add(mTarget.shortHash());
             }
         }
 
         void onLeavingReceived(int start) {
-            if (mTargets.onToldLeaving(start).isPresent()) {
+            if (mTargets.onLeavingReported(start).isPresent()) {
                 mLeaving.add(start);
             }
         }
@@ -75,8 +75,8 @@
         for (int step = 0; step < SECONDS * STEPS_PER_SECOND; step++) {
             if (random.nextDouble() < requestsPerSecond / STEPS_PER_SECOND) {
                 Router r = routers.get(random.nextInt(n));
-                misrouted += r.mTarget.takesWork(step) ? 1 : 0;
-                if (r.mTarget.takesWork(step)) {
+                misrouted += r.mTarget.acceptsRequests(step) ? 1 : 0;
+                if (r.mTarget.acceptsRequests(step)) {
                     r.onAnswer();
                 }
             }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/ResponseFactory.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/ResponseFactory.java
@@ -49,7 +49,8 @@
      * @param retryAfterMillis suggested time until a retry
      */
     FullHttpResponse unavailable(String requestId, String message, long retryAfterMillis) {
-        return serviceUnavailable(requestId, message, RetryAfter.spread(retryAfterMillis, mRandom));
+        return serviceUnavailable(
+                requestId, message, RetryAfter.withJitter(retryAfterMillis, mRandom));
     }
 
     /**
@@ -59,7 +60,7 @@
      */
     FullHttpResponse unavailableUntil(String requestId, String message, long retryAfterMillis) {
         return serviceUnavailable(
-                requestId, message, RetryAfter.notBefore(retryAfterMillis, mRandom));
+                requestId, message, RetryAfter.withJitterAfter(retryAfterMillis, mRandom));
     }
 
     private FullHttpResponse serviceUnavailable(
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/RouterService.java
@@ -3,10 +3,10 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 import io.netty.channel.EventLoop;
 
-import org.forkseam.core.admit.ColdGate;
+import org.forkseam.core.admit.ColdStartLimiter;
 import org.forkseam.core.kernel.Service;
 import org.forkseam.core.member.Target;
-import org.forkseam.core.member.TargetStart;
+import org.forkseam.core.member.TargetIncarnation;
 import org.forkseam.core.route.BoundedLoadPicker;
 import org.forkseam.core.route.CandidateFilter;
 import org.forkseam.core.route.LeastLoadedPicker;
@@ -93,7 +93,8 @@
                                         homePicker(mBounds),
                                         LeastLoadedPicker.of(p.random()),
                                         RegionFilter.of(settings.regions())),
-                                ColdGate.of(p.knowledge()::shareFor, mBounds.coldOvershoot()),
+                                ColdStartLimiter.of(
+                                        p.knowledge()::shareFor, mBounds.coldOvershoot()),
                                 new RetryBudgets(retryBounds(mBounds), this::routerCount),
                                 new ResponseFactory(p.headerCodec(), p.random()),
                                 new RequestMeters(),
@@ -229,7 +230,7 @@
         m.put("callers", mContext.connections().size());
         m.put("target_connections", mContext.targetConnections().openCount());
         m.put("target_connections_opened", mContext.targetConnections().openedCount());
-        m.put("cold_passed_over", mContext.coldStartLimiter().passedOver());
+        m.put("cold_passed_over", mContext.coldStartLimiter().skipped());
         m.put("target_crashes", mContext.crashDetector().crashCount());
         m.put("leaving", mContext.isDraining());
         m.put("targets", mKnowledge.targets().all().stream().map(this::dump).toList());
@@ -245,9 +246,9 @@
         m.put("domain", t.entry().domain());
         m.put("in_flight", t.inFlight());
         m.put("others", t.othersInFlight(now));
-        m.put("share", t.health().share(now));
+        m.put("share", t.health().trafficShare(now));
         m.put("state", t.availability().state(now));
-        m.put("takes_work", t.takesWork(now));
+        m.put("takes_work", t.acceptsRequests(now));
         return m;
     }
 
@@ -268,9 +269,9 @@
     }
 
     private void closeStaleConnections(long now) {
-        Map<TargetStart, Target> known = new HashMap<>();
+        Map<TargetIncarnation, Target> known = new HashMap<>();
         for (Target t : mKnowledge.targets().all()) {
-            known.put(t.start(), t);
+            known.put(t.incarnation(), t);
             mContext.targetConnections()
                     .setLimit(t, mKnowledge.config().pool(t.entry().pool()), routerCount());
         }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/TargetSelection.java
@@ -60,7 +60,7 @@
         String pool = admission.pool();
         ColdStart cold = coldStart(admission);
         List<Target> all = allowedTargets(admission);
-        List<Target> admitted = mContext.coldStartLimiter().admitted(all, cold, now);
+        List<Target> admitted = mContext.coldStartLimiter().admissible(all, cold, now);
         int resting = all.size() - admitted.size() + countResting(admitted, now);
         CandidateFilter.Candidates c =
                 mContext.selectors().candidateFilter().apply(admitted, mTried, now);
@@ -81,7 +81,7 @@
     private static int countResting(List<Target> targets, long now) {
         int n = 0;
         for (Target t : targets) {
-            n += t.rests(now) ? 1 : 0;
+            n += t.isPaused(now) ? 1 : 0;
         }
         return n;
     }
@@ -92,7 +92,7 @@
 
     private void onPick(String pool, Pick p, ColdStart cold, long now) {
         mTried.add(p.target().entry().id());
-        mContext.coldStartLimiter().onSent(p.target(), cold, now);
+        mContext.coldStartLimiter().onRequestSent(p.target(), cold, now);
         mContext.knowledge().seats().onPick(pool, p.reason());
     }
 
@@ -105,7 +105,7 @@
         long now = mContext.now();
         List<Target> all = allowedTargets(admission);
         long coldMillis = coldStart(admission).millis();
-        if (all.stream().anyMatch(t -> t.takesWork(now) && t.isCold(coldMillis, now))) {
+        if (all.stream().anyMatch(t -> t.acceptsRequests(now) && t.isCold(coldMillis, now))) {
             return "cold";
         }
         if (all.stream().anyMatch(Target::isEvacuated)) {
@@ -125,10 +125,10 @@
         long now = mContext.now();
         OptionalLong first = OptionalLong.empty();
         for (Target t : allowedTargets(admission)) {
-            if (t.takesWork(now)) {
+            if (t.acceptsRequests(now)) {
                 return OptionalLong.empty();
             }
-            if (t.isEvacuated() || !t.stays()) {
+            if (t.isEvacuated() || !t.isPoolMember()) {
                 continue;
             }
             long in = t.availability().holdOffUntil() - now;
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerGroup.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/PeerGroup.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 
-import org.forkseam.core.admit.ColdShare;
+import org.forkseam.core.admit.ColdStartShare;
 import org.forkseam.direct.io.Addresses;
 
 import java.net.InetSocketAddress;
@@ -81,8 +81,8 @@
     }
 
     /** Returns this router's share of a cold target's capacity among the known routers. */
-    ColdShare shareFor(long targetHash) {
-        return ColdShare.of(host(), mRouters.keySet(), targetHash);
+    ColdStartShare shareFor(long targetHash) {
+        return ColdStartShare.of(host(), mRouters.keySet(), targetHash);
     }
 
     /**
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/RowFollower.java
@@ -2,7 +2,7 @@
 
 import org.forkseam.core.share.StoreReaderRole;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
 import org.forkseam.direct.spi.SharedRows;
@@ -83,7 +83,7 @@
     }
 
     /** Updates the offset of the store's clock, which may restart with a new era. */
-    private void updateStoreClock(StoreTime readAt) {
+    private void updateStoreClock(StoreTimestamp readAt) {
         if (readAt.era() < mClockEra) {
             return;
         }
@@ -155,7 +155,7 @@
 
     private void applyAll(Versioned<List<SharedRow>> read, Audience audience) {
         updateStoreClock(read.readTime());
-        if (!mHasRead || !read.position().isOfLaterEraThan(mPosition)) {
+        if (!mHasRead || !read.position().isLaterEraThan(mPosition)) {
             mPosition = StorePosition.newer(mPosition, read.position());
             read.value().forEach(this::apply);
             return;
@@ -187,7 +187,7 @@
             Versioned<List<SharedRow>> read, Throwable failure, StorePosition since) {
         boolean otherHistory =
                 failure == null
-                        ? !read.position().isOfEraOf(since)
+                        ? !read.position().isSameEraAs(since)
                         : SourceException.isHistoryCompacted(failure);
         if (otherHistory) {
             rereadUnlessUpdated(() -> mPosition, this::follow, this::readAll);
@@ -247,7 +247,7 @@
         if (!m.until().isAfter(mPosition) || !mHasRead) {
             return;
         }
-        boolean isRestore = m.until().isOfLaterEraThan(mPosition);
+        boolean isRestore = m.until().isLaterEraThan(mPosition);
         if (m.complete() && isRestore && m.since().equals(mPosition)) {
             advanceEra(m.since(), m.until(), m.rows(), false);
         } else if (m.complete() && !isRestore && !m.since().isAfter(mPosition)) {
@@ -270,7 +270,7 @@
         if (isCurrent()) {
             StorePosition since = mPosition;
             mRows.awaitChanges(since, 0)
-                    .thenCompose(read -> readAllUnless(read.position().isOfEraOf(since), read))
+                    .thenCompose(read -> readAllUnless(read.position().isSameEraAs(since), read))
                     .exceptionallyCompose(e -> mRows.readAll()) // the history may be gone
                     .whenComplete(this::onCaughtUp);
         } else {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/SuspectRows.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/SuspectRows.java
@@ -1,6 +1,6 @@
 package org.forkseam.direct.know;
 
-import org.forkseam.core.crash.CrashFact;
+import org.forkseam.core.crash.CrashEvent;
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.SharedRow;
@@ -39,19 +39,19 @@
     }
 
     /** Writes the known crashes of a request unless the limit is reached. */
-    void write(long content, List<CrashFact> crashes) {
+    void write(long content, List<CrashEvent> crashes) {
         OptionalLong now = mStoreMillis.get();
         if (now.isEmpty() || mWrittenAt.size() >= MAX_ROWS) {
             return;
         }
         StringBuilder value = new StringBuilder(Long.toString(now.getAsLong()));
-        crashes.forEach(f -> value.append(',').append(Integer.toHexString(f.crash())));
+        crashes.forEach(f -> value.append(',').append(Integer.toHexString(f.crashId())));
         String key = ROW_KEY.keyOf(content);
         mRows.put(key, value.toString()).exceptionally(e -> RowFollower.logWriteFailure(key, e));
     }
 
     /** Applies a changed row and returns its crashes; empty if the row is of another kind. */
-    List<CrashFact> apply(SharedRow row) {
+    List<CrashEvent> apply(SharedRow row) {
         if (!ROW_KEY.matches(row.key())) {
             return List.of();
         }
@@ -71,11 +71,11 @@
         return List.of();
     }
 
-    private List<CrashFact> read(SharedRow row, long content) {
+    private List<CrashEvent> read(SharedRow row, long content) {
         String[] fields = row.value().split(",");
-        List<CrashFact> crashes = new ArrayList<>();
+        List<CrashEvent> crashes = new ArrayList<>();
         for (int i = 1; i < fields.length; i++) {
-            CrashFact f = new CrashFact(content, Integer.parseUnsignedInt(fields[i], 16));
+            CrashEvent f = new CrashEvent(content, Integer.parseUnsignedInt(fields[i], 16));
             if (!f.isAnswered()) {
                 crashes.add(f);
             }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/know/TargetFollower.java
@@ -5,7 +5,7 @@
 import org.forkseam.core.member.TargetEntry;
 import org.forkseam.core.share.TargetListDelta;
 import org.forkseam.core.store.StorePosition;
-import org.forkseam.core.store.StoreTime;
+import org.forkseam.core.store.StoreTimestamp;
 import org.forkseam.direct.log.Event;
 import org.forkseam.direct.spi.FleetSource;
 import org.forkseam.direct.spi.Versioned;
@@ -43,7 +43,7 @@
     private long mPauseMillis;
     private TargetListDelta.Snapshot mList = TargetListDelta.Snapshot.of(List.of());
     private final Consumer<String> mOnRestart;
-    private StoreTime mReadAt = StoreTime.NEVER;
+    private StoreTimestamp mReadAt = StoreTimestamp.NEVER;
     private int mPartsLeft;
     private int mFailures;
     private long mConfirmedAt;
@@ -190,11 +190,11 @@
      * Returns whether a list was read before the grace period of missing targets ended, so that it
      * cannot show which of them have left.
      */
-    private boolean isBeforeGraceEnd(StoreTime readAt) {
+    private boolean isBeforeGraceEnd(StoreTimestamp readAt) {
         long now = now();
-        return mTargets.keepsMissing()
-                && now >= mTargets.keepMissingUntil()
-                && toLocalTime(readAt) < mTargets.keepMissingUntil();
+        return mTargets.retainsUnlisted()
+                && now >= mTargets.retainUnlistedUntil()
+                && toLocalTime(readAt) < mTargets.retainUnlistedUntil();
     }
 
     /**
@@ -202,11 +202,11 @@
      */
     private long millisToGraceEnd(long now) {
         long until = Long.MAX_VALUE;
-        if (mTargets.keepsMissing()) {
-            until = mTargets.keepMissingUntil() - now;
+        if (mTargets.retainsUnlisted()) {
+            until = mTargets.retainUnlistedUntil() - now;
         }
-        if (mTargets.passesOver()) {
-            until = Math.min(until, mTargets.passOverUntil() - now);
+        if (mTargets.ignoresStaleRows()) {
+            until = Math.min(until, mTargets.ignoreStaleRowsUntil() - now);
         }
         return until;
     }
@@ -306,7 +306,7 @@
     }
 
     /** Returns whether a read is older than the known list, or too old to end the grace period. */
-    private boolean isOutdated(StoreTime readAt) {
+    private boolean isOutdated(StoreTimestamp readAt) {
         return !readAt.isAfter(mReadAt) || !mHasList || isBeforeGraceEnd(readAt);
     }
 
@@ -314,10 +314,10 @@
      * Records that the known list was the newest at this time, and ends the grace period if it is
      * due.
      */
-    private void confirm(StoreTime readAt) {
+    private void confirm(StoreTimestamp readAt) {
         mReadAt = readAt;
         mConfirmedAt = toLocalTime(readAt);
-        if (mTargets.keepsMissing() || mTargets.passesOver()) {
+        if (mTargets.retainsUnlisted() || mTargets.ignoresStaleRows()) {
             apply(mList, mTargets.position(), mConfirmedAt);
         }
     }
@@ -326,7 +326,7 @@
      * Converts a time of the store's clock to the local clock; never later than now, since the
      * store's clock may have restarted.
      */
-    private long toLocalTime(StoreTime readAt) {
+    private long toLocalTime(StoreTimestamp readAt) {
         return Math.min(now(), readAt.millis() + mStoreClockOffset);
     }
 
--- a/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
+++ b/forkseam-direct/src/test/java/org/forkseam/direct/know/TargetFollowerTest.java
@@ -114,7 +114,7 @@
 
     private void onRecovered() {
         long now = mClock.nowMillis();
-        mFollower.targets().onSourceBack(now, now - mFollower.confirmedAt());
+        mFollower.targets().onSourceRecovered(now, now - mFollower.confirmedAt());
         mRecoveredAt = now;
     }
 
