--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/Daemon.java
@@ -9,10 +9,10 @@
 import org.forkseam.core.util.Clock;
 import org.forkseam.core.util.DecisionLog;
 import org.forkseam.daemon.admin.AdminApi;
-import org.forkseam.daemon.admin.Explainer;
+import org.forkseam.daemon.admin.DecisionExplainer;
 import org.forkseam.daemon.cfg.SettingKey;
 import org.forkseam.daemon.cfg.Settings;
-import org.forkseam.daemon.net.Links;
+import org.forkseam.daemon.net.LinkManager;
 import org.forkseam.daemon.orders.OrderDesk;
 import org.forkseam.daemon.orders.Rollouts;
 import org.forkseam.daemon.router.Router;
@@ -21,9 +21,9 @@
 import org.forkseam.daemon.share.ConfigStore;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
-import org.forkseam.daemon.sidecar.CacheWatch;
+import org.forkseam.daemon.sidecar.CacheLifetimeEstimator;
+import org.forkseam.daemon.sidecar.ClaimManager;
 import org.forkseam.daemon.sidecar.ClaimStore;
-import org.forkseam.daemon.sidecar.Claims;
 import org.forkseam.daemon.sidecar.HttpTargetClient;
 import org.forkseam.daemon.sidecar.Sidecar;
 import org.forkseam.daemon.sidecar.SidecarCounters;
@@ -69,7 +69,7 @@
     private final Fleet mFleet = new Fleet();
     private final PlatformHttpClient mHttp;
     private final HttpTableService mTable;
-    private final Links mLinks;
+    private final LinkManager mLinks;
     private final FleetSync mSync;
     private final ConfigStore mConfigStore;
     private Router mRouter;
@@ -82,15 +82,16 @@
         mRandom = random;
         mIncarnation = mClock.nowMillis();
         mLoop = Eventloop.builder().withThreadName("loop-" + host()).build();
-        mKernel = ServiceManager.of(settings.integer(SettingKey.STOP_MILLIS));
+        mKernel = ServiceManager.of(settings.integer(SettingKey.DRAIN_TIMEOUT_MILLIS));
         mHttp =
                 PlatformHttpClient.of(
-                        mLoop, Duration.ofMillis(settings.integer(SettingKey.PLATFORM_MILLIS)));
+                        mLoop,
+                        Duration.ofMillis(settings.integer(SettingKey.PLATFORM_TIMEOUT_MILLIS)));
         mTable = HttpTableService.of(mHttp, settings.text(SettingKey.TABLE_SERVICE));
         mConfigStore =
                 ConfigStore.of(
                         mTable, HttpObjectStore.of(mHttp, settings.text(SettingKey.OBJECT_STORE)));
-        mLinks = Links.of(mLoop, wire(), settings.address(SettingKey.WIRE_LISTEN));
+        mLinks = LinkManager.of(mLoop, wire(), settings.address(SettingKey.WIRE_LISTEN));
         mSync = sync();
         build();
     }
@@ -137,8 +138,8 @@
                         mConfigStore,
                         mLinks),
                 new FleetSync.Pace(
-                        mSettings.integer(SettingKey.HOST_LIST_MILLIS),
-                        mSettings.integer(SettingKey.CONFIG_MILLIS)),
+                        mSettings.integer(SettingKey.HOST_LIST_INTERVAL_MILLIS),
+                        mSettings.integer(SettingKey.CONFIG_INTERVAL_MILLIS)),
                 host(),
                 mRandom);
     }
@@ -187,7 +188,7 @@
                         mIncarnation,
                         mSettings.address(SettingKey.CALLERS_LISTEN),
                         mSettings.integer(SettingKey.MAX_BODY_BYTES),
-                        Duration.ofMillis(mSettings.integer(SettingKey.REQUEST_MILLIS)),
+                        Duration.ofMillis(mSettings.integer(SettingKey.REQUEST_TIMEOUT_MILLIS)),
                         mSettings.text(SettingKey.TICKET_KEY),
                         mSettings.text(SettingKey.PLACEMENT));
         Router.Parts parts =
@@ -202,22 +203,22 @@
                         target,
                         mSettings.integer(SettingKey.TARGET_CAPACITY),
                         mIncarnation,
-                        mSettings.integer(SettingKey.ANSWERS_BYTES));
-        Sidecar.Parts parts =
-                new Sidecar.Parts(
+                        mSettings.integer(SettingKey.RETAINED_RESPONSE_BYTES));
+        Sidecar.Dependencies parts =
+                new Sidecar.Dependencies(
                         mFleet,
                         mSync,
                         mLinks,
                         HttpTargetClient.of(mLoop, mSettings.text(SettingKey.TARGET_URL)),
-                        Claims.of(ClaimStore.of(mLoop, mTable), target, mIncarnation),
+                        ClaimManager.of(ClaimStore.of(mLoop, mTable), target, mIncarnation),
                         cacheWatch(),
                         SidecarCounters.of(mRegistry));
         if (isEngine()) {
             String url = mSettings.text(SettingKey.TARGET_URL);
-            mLinks.addSink(OrderDesk.of(mHttp, url, mTable, mSync::packet));
+            mLinks.addListener(OrderDesk.of(mHttp, url, mTable, mSync::packet));
         }
         Sidecar s = Sidecar.of(mLoop, mClock, config, parts, mRandom);
-        mRegistry.gauge("forkseam.target.load", s, x -> x.gate().load());
+        mRegistry.gauge("forkseam.target.load", s, x -> x.admission().load());
         return s;
     }
 
@@ -226,12 +227,12 @@
     }
 
     /** Plain services have no cache and must see only what callers sent. */
-    private Optional<CacheWatch> cacheWatch() {
+    private Optional<CacheLifetimeEstimator> cacheWatch() {
         if (!isEngine()) {
             return Optional.empty();
         }
         String url = mSettings.text(SettingKey.TARGET_URL);
-        return Optional.of(CacheWatch.of(mLoop, mHttp, url, mClock));
+        return Optional.of(CacheLifetimeEstimator.of(mLoop, mHttp, url, mClock));
     }
 
     private AdminApi admin(DecisionLog decisions) {
@@ -240,8 +241,8 @@
                         host(),
                         mSettings.address(SettingKey.OPERATORS_LISTEN),
                         mSettings.text(SettingKey.OPERATORS_KEY));
-        AdminApi.Parts parts =
-                new AdminApi.Parts(
+        AdminApi.Dependencies parts =
+                new AdminApi.Dependencies(
                         mFleet,
                         mSync,
                         ConfigAuthor.of(mFleet, mSync, mConfigStore, mClock),
@@ -250,7 +251,11 @@
                         this::isReady,
                         mRegistry.counter("forkseam.admin.unauthorized")::increment);
         return AdminApi.of(
-                mLoop, mClock, config, parts, Explainer.of(host(), mFleet, mSync, decisions));
+                mLoop,
+                mClock,
+                config,
+                parts,
+                DecisionExplainer.of(host(), mFleet, mSync, decisions));
     }
 
     // ---------------------------------------------------------------- life-cycle
@@ -298,7 +303,7 @@
 
     /** Closes every link to other daemons, as a failing switch would; for tests. */
     public void cutLinks() {
-        mLoop.execute(() -> mLinks.open().forEach(Link::close));
+        mLoop.execute(() -> mLinks.openLinks().forEach(Link::close));
     }
 
     private static void closeAtOnce(Channel channel) {
@@ -312,7 +317,7 @@
     // ---------------------------------------------------------------- accessors
 
     private boolean isReady() {
-        return mRouter == null ? !mSidecar.gate().isLeaving() : mRouter.isReady();
+        return mRouter == null ? !mSidecar.admission().isLeaving() : mRouter.isReady();
     }
 
     private Map<String, Object> dump() {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/ClaimLookup.java
@@ -25,7 +25,8 @@
                 .handle((seen, e) -> e == null ? judge(seen, why) : why);
     }
 
-    private static AttemptFailure judge(Optional<ClaimStore.Seen> seen, AttemptFailure why) {
+    private static AttemptFailure judge(
+            Optional<ClaimStore.VersionedClaim> seen, AttemptFailure why) {
         boolean ran = seen.isPresent() && seen.get().row().state() != ClaimRow.State.ABANDONED;
         boolean otherRequest = why.reason() == RefusalReason.ID_REUSED;
         return ran && !otherRequest
