--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
@@ -13,7 +13,7 @@
 import org.forkseam.core.util.DecisionLog;
 import org.forkseam.daemon.net.LinkManager;
 import org.forkseam.daemon.net.PacketListener;
-import org.forkseam.daemon.share.DigestCarrier;
+import org.forkseam.daemon.share.DigestSampler;
 import org.forkseam.daemon.share.Fleet;
 import org.forkseam.daemon.share.FleetSync;
 import org.forkseam.daemon.share.Ticker;
@@ -67,7 +67,7 @@
     private final AdmissionController<Exchange> mAdmission;
     private final ExchangeRegistry mExchanges;
     private final DecisionLog mDecisions;
-    private final DigestCarrier mDigestCarrier;
+    private final DigestSampler mDigestSampler;
     private final Map<Link, Map<Long, Subscription>> mSubscriptions = new HashMap<>();
     private final StreamSubscriber.SidecarStatus mStatus;
     private final Ticker mTicker;
@@ -120,7 +120,7 @@
                         loop, clock, dependencies.claims(), mTarget, mAdmission, mCounters);
         mExchanges = ExchangeRegistry.of(config.maxRetainedBytes());
         mDecisions = DecisionLog.of(DecisionLog.DEFAULT_SIZE);
-        mDigestCarrier = DigestCarrier.of(mFleet, clock, random);
+        mDigestSampler = DigestSampler.of(mFleet, clock, random);
         mStatus =
                 new StreamSubscriber.SidecarStatus(
                         mSync::packet, this::loadDigests, this::cacheLifetimeMillis);
@@ -156,7 +156,7 @@
                 () -> {
                     mLinks.addListener(this);
                     mLinks.addListener(new QuotaCoordinator(mFleet, mSync, mClock));
-                    mSync.setDecisions(mDecisions);
+                    mSync.setDecisionLog(mDecisions);
                     mSync.setOwnDigest(() -> Optional.of(mAdmission.digest()));
                     mFleet.addListener(this::onFleetChanged);
                     onFleetChanged();
@@ -275,7 +275,7 @@
     }
 
     private List<org.forkseam.wire.proto.LoadDigest> loadDigests() {
-        return mDigestCarrier.withOwn(mAdmission.digest());
+        return mDigestSampler.withOwn(mAdmission.digest());
     }
 
     // ---------------------------------------------------------------- from routers
@@ -295,7 +295,7 @@
     }
 
     private void mergeDigests(Link link, List<org.forkseam.wire.proto.LoadDigest> digests) {
-        mFleet.learn(link, digests, mClock.nowMillis()).forEach(mAdmission::onDigest);
+        mFleet.onDigests(link, digests, mClock.nowMillis()).forEach(mAdmission::onDigest);
     }
 
     private void onSubmit(Link link, Submit s) {
