--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderHandler.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/OrderHandler.java
@@ -10,7 +10,7 @@
 import org.forkseam.daemon.share.LeaseManager;
 import org.forkseam.platform.Row;
 import org.forkseam.platform.TableService;
-import org.forkseam.platform.http.Http;
+import org.forkseam.platform.http.PlatformHttpClient;
 import org.forkseam.wire.Link;
 import org.forkseam.wire.proto.Order;
 import org.forkseam.wire.proto.OrderReply;
@@ -34,14 +34,17 @@
 public final class OrderHandler implements PacketListener {
     private static final int OK = 200;
 
-    private final Http mHttp;
+    private final PlatformHttpClient mHttp;
     private final String mUrl;
     private final TableService mTable;
     private final Supplier<Packet.Builder> mPacketFactory;
     private final Map<String, FenceGuard> mFenceGuards = new HashMap<>();
 
     private OrderHandler(
-            Http http, String url, TableService table, Supplier<Packet.Builder> packets) {
+            PlatformHttpClient http,
+            String url,
+            TableService table,
+            Supplier<Packet.Builder> packets) {
         mHttp = http;
         mUrl = url + "/v1/orders";
         mTable = table;
@@ -50,7 +53,10 @@
 
     /** Creates a handler for the engine at a base URL. */
     public static OrderHandler of(
-            Http http, String url, TableService table, Supplier<Packet.Builder> packets) {
+            PlatformHttpClient http,
+            String url,
+            TableService table,
+            Supplier<Packet.Builder> packets) {
         return new OrderHandler(http, url, table, packets);
     }
 
@@ -116,7 +122,7 @@
     }
 
     private CompletableFuture<OrderReply> submit(Order order) {
-        ObjectNode body = Http.JSON.createObjectNode().put("fence", order.getFence());
+        ObjectNode body = PlatformHttpClient.JSON.createObjectNode().put("fence", order.getFence());
         body.put("model", order.getModel()).put("adapter", order.getAdapter());
         body.put("version", order.getVersion()).put("role", order.getRole());
         byte[] data = body.toString().getBytes(StandardCharsets.UTF_8);
@@ -130,7 +136,7 @@
     }
 
     private static OrderReply reply(
-            Order order, Http.Answer answer, Throwable e, OrderResult result) {
+            Order order, PlatformHttpClient.Response answer, Throwable e, OrderResult result) {
         OrderReply.Builder b = OrderReply.newBuilder().setId(order.getId());
         if (e != null) {
             return b.setResult(OrderResult.NO_ANSWER.name()).setDetail(e.toString()).build();
@@ -140,7 +146,7 @@
             return b.setResult(OrderResult.REFUSED.name()).setDetail(detail).build();
         }
         try {
-            JsonNode n = Http.JSON.readTree(answer.body());
+            JsonNode n = PlatformHttpClient.JSON.readTree(answer.body());
             return b.setResult(result.name())
                     .setModel(n.path("model").asText())
                     .setAdapter(n.path("adapter").asText())
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/RolloutController.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/orders/RolloutController.java
@@ -244,7 +244,7 @@
                     .weights()
                     .map(
                             s ->
-                                    s.ask(weights)
+                                    s.requestPermit(weights)
                                             .handle(
                                                     (p, e) ->
                                                             p
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/AttemptRegistry.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/AttemptRegistry.java
@@ -80,7 +80,8 @@
     void closeSilentLinks() {
         Set<Link> silent = new HashSet<>();
         for (Attempt a : mOpen.values()) {
-            if (a.link() != null && a.link().silentMillis() > SIDECAR_SILENCE_TIMEOUT_MILLIS) {
+            if (a.link() != null
+                    && a.link().millisSinceLastRead() > SIDECAR_SILENCE_TIMEOUT_MILLIS) {
                 silent.add(a.link());
             }
         }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/DigestSampler.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/DigestSampler.java
@@ -46,7 +46,7 @@
     /** Returns the sender's own digest and a sample of others in its pools. */
     public List<org.forkseam.wire.proto.LoadDigest> withOwn(LoadDigest own) {
         List<org.forkseam.wire.proto.LoadDigest> out = new ArrayList<>(1 + DIGESTS_PER_MESSAGE);
-        out.add(Codec.ownToWire(own, mClock.nowMillis()));
+        out.add(Codec.toWireWithoutTarget(own, mClock.nowMillis()));
         for (PoolView p : mFleet.view().poolsOf(own.target())) {
             sample(p, own.target(), DIGESTS_PER_MESSAGE, out);
         }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/FleetSync.java
@@ -338,8 +338,8 @@
         ConfigPush push =
                 mFleet.log()
                         .since(fromVersion)
-                        .map(Codec::push)
-                        .orElseGet(() -> Codec.push(mFleet.config()));
+                        .map(Codec::toConfigPush)
+                        .orElseGet(() -> Codec.toConfigPush(mFleet.config()));
         link.send(packet().setConfigPush(push).build());
     }
 
@@ -347,7 +347,7 @@
         long now = mClock.nowMillis();
         boolean applied;
         if (push.getWhole() && push.getChangesCount() == 1) {
-            applied = mFleet.onSnapshot(Codec.wholeFromWire(push.getChanges(0)), now);
+            applied = mFleet.onSnapshot(Codec.fullConfigFromWire(push.getChanges(0)), now);
         } else {
             List<ConfigChange> changes = new ArrayList<>();
             push.getChangesList().forEach(c -> changes.add(Codec.fromWire(c)));
@@ -364,8 +364,8 @@
         List<ConfigChange> history = mFleet.log().history();
         ConfigPush push =
                 history.isEmpty()
-                        ? Codec.push(mFleet.config())
-                        : Codec.push(List.of(history.get(history.size() - 1)));
+                        ? Codec.toConfigPush(mFleet.config())
+                        : Codec.toConfigPush(List.of(history.get(history.size() - 1)));
         Packet packet = packet().setConfigPush(push).build();
         for (int i = 0; i < GOSSIP_FANOUT; i++) {
             randomPeer()
@@ -386,7 +386,7 @@
     private void sendLoadNotice() {
         long now = mClock.nowMillis();
         LoadNotice.Builder b = LoadNotice.newBuilder();
-        mOwnDigest.get().ifPresent(d -> b.addDigests(Codec.ownToWire(d, now)));
+        mOwnDigest.get().ifPresent(d -> b.addDigests(Codec.toWireWithoutTarget(d, now)));
         newestDigests().forEach(d -> b.addDigests(Codec.toWire(d, now)));
         Packet packet = packet().setLoadNotice(b).build();
         randomPeer().ifPresent(h -> mLinks.connect(h.address()).thenAccept(l -> l.send(packet)));
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseManager.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseManager.java
@@ -11,7 +11,7 @@
 import org.forkseam.platform.TableService;
 import org.forkseam.platform.TxnResult;
 import org.forkseam.platform.Write;
-import org.forkseam.platform.http.Http;
+import org.forkseam.platform.http.PlatformHttpClient;
 
 import java.io.UncheckedIOException;
 import java.util.Collection;
@@ -114,7 +114,7 @@
     /** Parses a lease row. */
     public static LeaseRow fromRow(Row row) {
         try {
-            return Http.JSON.readValue(row.value(), LeaseRow.class);
+            return PlatformHttpClient.JSON.readValue(row.value(), LeaseRow.class);
         } catch (JsonProcessingException e) {
             throw new UncheckedIOException("malformed lease row " + row.key(), e);
         }
@@ -122,7 +122,7 @@
 
     private static String toJson(LeaseRow row) {
         try {
-            return Http.JSON.writeValueAsString(row);
+            return PlatformHttpClient.JSON.writeValueAsString(row);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("failed to serialize a lease row", e);
         }
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/CacheLifetimeEstimator.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/CacheLifetimeEstimator.java
@@ -8,7 +8,7 @@
 import org.forkseam.core.util.BoundedMap;
 import org.forkseam.core.util.Clock;
 import org.forkseam.daemon.share.Ticker;
-import org.forkseam.platform.http.Http;
+import org.forkseam.platform.http.PlatformHttpClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -32,7 +32,7 @@
     private static final long ERROR_BACKOFF_MILLIS = 60_000;
     private static final double SMOOTHING_FACTOR = 0.02;
 
-    private final Http mHttp;
+    private final PlatformHttpClient mHttp;
     private final String mUrl;
     private final Clock mClock;
     private final Ticker mTicker;
@@ -41,7 +41,8 @@
     private double mLifetimeMillis;
     private long mPollDelayMillis = POLL_INTERVAL_MILLIS;
 
-    private CacheLifetimeEstimator(Eventloop loop, Http http, String url, Clock clock) {
+    private CacheLifetimeEstimator(
+            Eventloop loop, PlatformHttpClient http, String url, Clock clock) {
         mHttp = http;
         mUrl = url;
         mClock = clock;
@@ -49,7 +50,8 @@
     }
 
     /** Creates the estimator for the engine at a base URL. */
-    public static CacheLifetimeEstimator of(Eventloop loop, Http http, String url, Clock clock) {
+    public static CacheLifetimeEstimator of(
+            Eventloop loop, PlatformHttpClient http, String url, Clock clock) {
         return new CacheLifetimeEstimator(loop, http, url, clock);
     }
 
@@ -82,7 +84,7 @@
 
     private void parseEvents(byte[] body) {
         try {
-            for (JsonNode n : Http.JSON.readTree(body).path("events")) {
+            for (JsonNode n : PlatformHttpClient.JSON.readTree(body).path("events")) {
                 onEvent(n.asText().split(" "));
             }
         } catch (IOException e) {
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Sidecar.java
@@ -250,7 +250,8 @@
         mAdmission.expire();
         mExchanges.expire(mClock.nowMillis()).forEach(this::cancel);
         for (Map.Entry<Link, Map<Long, Subscription>> e : mSubscriptions.entrySet()) {
-            if (!e.getValue().isEmpty() && e.getKey().unsentMillis() > KEEP_ALIVE_INTERVAL_MILLIS) {
+            if (!e.getValue().isEmpty()
+                    && e.getKey().millisSinceLastWrite() > KEEP_ALIVE_INTERVAL_MILLIS) {
                 sendLoadNotice(e.getKey());
             }
         }
