--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestReader.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/RequestReader.java
@@ -120,7 +120,7 @@
         try {
             return JSON.writeValueAsBytes(json);
         } catch (IOException e) {
-            throw new BadRequestException(BAD_REQUEST, "body cannot be serialized as JSON");
+            throw new BadRequestException(BAD_REQUEST, "body cannot be passed on");
         }
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/router/Router.java
@@ -298,7 +298,7 @@
     }
 
     private Promise<HttpResponse> rejectTooLarge() {
-        String message = "body exceeds " + mConfig.maxBodyBytes() + " bytes or was truncated";
+        String message = "body over " + mConfig.maxBodyBytes() + " bytes, or cut short";
         return reject(PAYLOAD_TOO_LARGE, "too_large", message);
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseManager.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/share/LeaseManager.java
@@ -116,7 +116,7 @@
         try {
             return PlatformHttpClient.JSON.readValue(row.value(), LeaseRow.class);
         } catch (JsonProcessingException e) {
-            throw new UncheckedIOException("malformed lease row " + row.key(), e);
+            throw new UncheckedIOException("lease row " + row.key() + " is malformed", e);
         }
     }
 
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Exchange.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/Exchange.java
@@ -259,9 +259,7 @@
     public void onHead(int status, List<Header> headers) {
         if (mRequest.getChat() && status >= MIN_SERVER_ERROR_STATUS) {
             // Nothing was forwarded to subscribers yet, so the request can be retried elsewhere.
-            refuse(
-                    AttemptFailure.failed(
-                            RefusalReason.BROKEN_ANSWER, "engine responded with status " + status));
+            refuse(AttemptFailure.failed(RefusalReason.BROKEN_ANSWER, "engine's status " + status));
             return;
         }
         mStatus = status;
--- a/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/StreamSubscriber.java
+++ b/forkseam-daemon/src/main/java/org/forkseam/daemon/sidecar/StreamSubscriber.java
@@ -97,8 +97,7 @@
         if (!b.has(mNextSequence)) {
             refuse(
                     AttemptFailure.failed(
-                            RefusalReason.NOT_KEPT,
-                            "the start of the response is no longer buffered"));
+                            RefusalReason.NOT_KEPT, "the answer's beginning is not kept"));
             return;
         }
         while (mNextSequence < b.frameCount() && mSentBytes < mCreditBytes) {
--- a/forkseam-direct/src/main/java/org/forkseam/direct/admin/AdminService.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/admin/AdminService.java
@@ -189,7 +189,7 @@
                         () ->
                                 text(
                                         HttpResponseStatus.SERVICE_UNAVAILABLE,
-                                        "no configuration or target list is available yet\n",
+                                        "knows nothing\n",
                                         "text/plain"));
     }
 
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/AdmissionCheck.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/AdmissionCheck.java
@@ -35,10 +35,11 @@
     static Decision check(TrafficConfig config, CallerRequest r) {
         Optional<String> malformed = r.head().malformed();
         if (malformed.isPresent()) {
-            return new Rejected(HttpResponseStatus.BAD_REQUEST, malformed.get() + " is malformed");
+            return new Rejected(
+                    HttpResponseStatus.BAD_REQUEST, malformed.get() + " cannot be read");
         }
         if (r.head().requestId().isEmpty()) {
-            return new Rejected(HttpResponseStatus.BAD_REQUEST, "request id is missing");
+            return new Rejected(HttpResponseStatus.BAD_REQUEST, "request without an id");
         }
         String host = r.headers().get(HttpHeaderNames.HOST, "");
         Optional<Route> route = config.route(host, r.path());
@@ -48,7 +49,7 @@
         Optional<Team> team = r.head().key().flatMap(config::team);
         boolean needsKey = config.hasTeams() && !route.get().open();
         if (needsKey && team.isEmpty()) {
-            return new Rejected(HttpResponseStatus.UNAUTHORIZED, "unknown API key");
+            return new Rejected(HttpResponseStatus.UNAUTHORIZED, "key is not known");
         }
         return new Admitted(route.get(), team);
     }
--- a/forkseam-direct/src/main/java/org/forkseam/direct/flow/FinalResponse.java
+++ b/forkseam-direct/src/main/java/org/forkseam/direct/flow/FinalResponse.java
@@ -74,7 +74,7 @@
 
     /** Refuses a quarantined request. */
     void refuseQuarantined(long retryAfterMillis) {
-        String reason = "targets crashed while processing this request";
+        String reason = "targets have ended under this request";
         respondLocally(
                 "refused_quarantined",
                 mContext.responses()
